--- a/internal/antientropy/wire.go
+++ b/internal/antientropy/wire.go
@@ -18,8 +18,8 @@
 //	bool partial = first+4;  // items are not all that is in the range
 //	bytes wanted = first+5;  // hashes of 8 bytes
 type Exchange struct {
-	Content RangeContent
-	Wanted  []uint64 // hashes of entries that the sender lacks
+	Content   RangeContent
+	Requested []uint64 // hashes of entries that the sender lacks
 }
 
 // The fields of an Exchange, counted from its first field number.
@@ -48,7 +48,7 @@
 	b = pbuf.AppendBytes(b, first+sumsField, AppendSums(nil, x.Content.Sums))
 	b = pbuf.AppendBytes(b, first+itemsField, AppendItems(nil, x.Content.Items))
 	b = pbuf.AppendBool(b, first+partialField, x.Content.Partial)
-	return pbuf.AppendBytes(b, first+wantedField, AppendHashes(nil, x.Wanted))
+	return pbuf.AppendBytes(b, first+wantedField, AppendHashes(nil, x.Requested))
 }
 
 // DecodeField reads one field, given the number of the first one. Fields that are
@@ -67,7 +67,7 @@
 	case partialField:
 		x.Content.Partial = value != 0
 	case wantedField:
-		x.Wanted, err = DecodeHashes(body)
+		x.Requested, err = DecodeHashes(body)
 	default: // not of an Exchange
 	}
 	return err
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -21,7 +21,7 @@
 func newLeaseAdapter(c *Cluster, options *Options) *leaseAdapter {
 	l := &leaseAdapter{cluster: c, waiting: map[uint64]func(lease.Decision){}}
 	l.manager = lease.New(lease.Options{
-		Author:          rand.Uint64() | 1,
+		ProcessID:       rand.Uint64() | 1,
 		MaxMessageBytes: options.MaxDatagramBytes - peer.Overhead,
 		Durable:         c.store != nil,
 		Persisted:       c.persisted(leaseKeyPrefix, "lease"),
--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -37,24 +37,24 @@
 type Value struct {
 	Generation  uint32 // how often the lease was released unused
 	State       State
-	Owner       uint64 // Options.Author of the process that has or had the lease
+	Owner       uint64 // Options.ProcessID of the process that has or had the lease
 	Fingerprint uint64 // hash of what the load runs
 	Outcome     []byte // of a load that has Ended
 }
 
 // Ballot orders rounds. The zero Ballot is below that of any round.
 type Ballot struct {
-	Number uint32
-	Author uint64
+	Number     uint32
+	ProposerID uint64
 }
 
 // above reports whether b is a higher ballot than o.
 func (b Ballot) above(o Ballot) bool {
-	return b.Number > o.Number || b.Number == o.Number && b.Author > o.Author
+	return b.Number > o.Number || b.Number == o.Number && b.ProposerID > o.ProposerID
 }
 
 // digest returns the ballot's part in the digest of a record.
-func (b Ballot) digest() uint64 { return antientropy.Mix(b.Author + uint64(b.Number)<<32) }
+func (b Ballot) digest() uint64 { return antientropy.Mix(b.ProposerID + uint64(b.Number)<<32) }
 
 // record is this front end's copy of one register, as an acceptor, with what this
 // process knows of its own leases.
--- a/internal/lease/antientropy.go
+++ b/internal/lease/antientropy.go
@@ -67,13 +67,13 @@
 	lacking, wanted := m.records.tree.Compare(msg.exchange.Content)
 	m.sendRecords(from, lacking)
 	if len(wanted) > 0 {
-		m.send(from, &message{verb: verbRecordRequest, exchange: antientropy.Exchange{Wanted: wanted}})
+		m.send(from, &message{verb: verbRecordRequest, exchange: antientropy.Exchange{Requested: wanted}})
 	}
 }
 
 // receiveRecordRequest sends the records that a member has requested.
 func (m *Manager) receiveRecordRequest(from Peer, msg *message) {
-	m.sendRecords(from, m.records.tree.FindAll(msg.exchange.Wanted))
+	m.sendRecords(from, m.records.tree.FindAll(msg.exchange.Requested))
 }
 
 // receiveRecords learns records from another copy, except those that are about to
@@ -110,7 +110,7 @@
 			encoded = append(encoded, m.copyOf(r).append(nil))
 		}
 	}
-	header := (&message{verb: verbRecords, canVote: m.CanVote(), author: m.options.Author}).append(nil)
+	header := (&message{verb: verbRecords, canVote: m.CanVote(), author: m.options.ProcessID}).append(nil)
 	for _, body := range antientropy.Pack(encoded, m.options.MaxMessageBytes-maxRecordsHeaderBytes) {
 		if m.budget.Allows(len(body)) {
 			m.sendBytes(to, slices.Concat(header, body))
--- a/internal/lease/compat_test.go
+++ b/internal/lease/compat_test.go
@@ -75,7 +75,7 @@
 			exchange: antientropy.Exchange{Content: antientropy.RangeContent{Range: antientropy.Range{Level: 3, Index: 4095}, Items: rangeItems, Partial: true}},
 		}},
 		{Name: "want", Value: message{
-			verb: verbRecordRequest, author: author, exchange: antientropy.Exchange{Wanted: []uint64{0x0102030405060708, 1}},
+			verb: verbRecordRequest, author: author, exchange: antientropy.Exchange{Requested: []uint64{0x0102030405060708, 1}},
 		}},
 		{Name: "tell", Value: message{verb: verbRecords, canVote: true, author: author, records: records}},
 	}
@@ -101,7 +101,7 @@
 	if len(golden) != len(want)+1 {
 		t.Errorf("%d golden lines", len(golden))
 	}
-	m := New(Options{Author: 1, Durable: true, Persisted: golden}, 1)
+	m := New(Options{ProcessID: 1, Durable: true, Persisted: golden}, 1)
 	m.Apply(0, Start{})
 	if !m.CanVote() {
 		t.Error("the voter mark is not restored")
@@ -130,7 +130,7 @@
 // TestCompatVoterMark checks the mark that a recovered member puts on its disk.
 func TestCompatVoterMark(t *testing.T) {
 	golden := goldentest.Read(t, "kept.txt")
-	m := New(Options{Author: 1, Durable: true}, 1)
+	m := New(Options{ProcessID: 1, Durable: true}, 1)
 	m.Apply(0, MembersChanged{Size: 1})
 	m.Apply(0, Start{})
 	for now := 0.0; !m.CanVote() && now < 60_000; now = m.NextTimerMS() {
@@ -149,7 +149,7 @@
 // Otherwise front ends would send one another all their records without end.
 func TestCompatDigests(t *testing.T) {
 	golden := goldentest.Read(t, "digests.txt")
-	m := New(Options{Author: 1}, 1)
+	m := New(Options{ProcessID: 1}, 1)
 	check := func(name string, got uint64) {
 		t.Helper()
 		if encoded := binary.BigEndian.AppendUint64(nil, got); !bytes.Equal(encoded, golden[name]) {
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -42,7 +42,7 @@
 // # Recovery of an acceptor that lost its state
 //
 // A process that starts without its persisted votes must not vote as if it
-// remembered them. It waits Times.RecoveryQuietMS, which is longer than any round
+// remembered them. It waits Times.RecoveryDelayMS, which is longer than any round
 // lasts (each proposer checks that by its own clock, so only clock rates matter),
 // and then copies, range by range, the records and promises of N - quorum + 1
 // voters. Every promise or vote that it gave earlier was part of a quorum that
--- a/internal/lease/fleet_test.go
+++ b/internal/lease/fleet_test.go
@@ -63,7 +63,7 @@
 		return
 	}
 	o := f.options
-	o.Author = f.rng.Uint64() | 1
+	o.ProcessID = f.rng.Uint64() | 1
 	o.Durable = f.disks[i] != nil
 	o.Persisted = f.disks[i]
 	m := New(o, f.rng.Uint64())
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -48,7 +48,7 @@
 // send sends a message with what every message says of its sender.
 func (m *Manager) send(to Peer, msg *message) {
 	msg.canVote = m.CanVote()
-	msg.author = m.options.Author
+	msg.author = m.options.ProcessID
 	m.sendBytes(to, msg.append(nil))
 }
 
--- a/internal/lease/options.go
+++ b/internal/lease/options.go
@@ -6,7 +6,7 @@
 type Times struct {
 	ResendMS          float64 // until an unanswered message is sent again
 	RoundTimeoutMS    float64 // after which replies to a round no longer count
-	RecoveryQuietMS   float64 // that a member without state waits before catch-up; longer than RoundTimeoutMS
+	RecoveryDelayMS   float64 // that a member without state waits before catch-up; longer than RoundTimeoutMS
 	NoQuorumAfterMS   float64 // after which a request that no quorum has answered is rejected
 	PollIntervalMS    float64 // between rounds for a lease that another front end holds
 	CompareIntervalMS float64 // between comparisons with other members
@@ -20,7 +20,7 @@
 	return Times{
 		ResendMS:          150,
 		RoundTimeoutMS:    2000,
-		RecoveryQuietMS:   3000,
+		RecoveryDelayMS:   3000,
 		NoQuorumAfterMS:   2500,
 		PollIntervalMS:    300,
 		CompareIntervalMS: 4000,
@@ -36,7 +36,7 @@
 
 // Options configure a Manager.
 type Options struct {
-	Author          uint64            // identifies this process; drawn at random for each, never 0
+	ProcessID       uint64            // identifies this process; drawn at random for each, never 0
 	MaxMessageBytes int               // of a message; 0: 250
 	Times           Times             // zero: DefaultTimes
 	MaxLeases       int               // records that are kept; 0: 16,384
--- a/internal/lease/proposer.go
+++ b/internal/lease/proposer.go
@@ -78,7 +78,7 @@
 	}
 	m.Counters.Rounds++
 	r.maxOwnBallot = max(op.seenBallot, r.promised.Number, r.accepted.Number, r.maxOwnBallot) + 1
-	op.round = round{ballot: Ballot{Number: r.maxOwnBallot, Author: m.options.Author}, startedAtMS: m.nowMS}
+	op.round = round{ballot: Ballot{Number: r.maxOwnBallot, ProposerID: m.options.ProcessID}, startedAtMS: m.nowMS}
 	op.round.startPhase(phasePreparing)
 	op.nextActionMS = m.nowMS + m.options.Times.ResendMS
 	ballot := op.round.ballot
@@ -173,7 +173,7 @@
 	op.round.startPhase(phaseAccepting)
 	op.nextActionMS = m.nowMS + m.options.Times.ResendMS
 	proposal := op.round.proposal
-	if proposal.State == Held && proposal.Owner == m.options.Author {
+	if proposal.State == Held && proposal.Owner == m.options.ProcessID {
 		op.mayBeHeld = true
 		op.heldGeneration = proposal.Generation
 	}
@@ -206,7 +206,7 @@
 // proposeRelease proposes that an unused lease of this process is free again.
 func (m *Manager) proposeRelease(op *operation, r *record) bool {
 	read := op.round.read
-	isUnusedLease := read.State == Held && read.Owner == m.options.Author && read.Generation == op.releaseGeneration &&
+	isUnusedLease := read.State == Held && read.Owner == m.options.ProcessID && read.Generation == op.releaseGeneration &&
 		!r.running && r.grantedGeneration != read.Generation+1
 	if !isUnusedLease { // it is released already, or was never held
 		op.finished = true
@@ -219,7 +219,7 @@
 // proposeLease proposes a value in answer to a client's request.
 func (m *Manager) proposeLease(op *operation, r *record) bool {
 	read := op.round.read
-	isOwn := read.Owner == m.options.Author
+	isOwn := read.Owner == m.options.ProcessID
 	isUnknown := read.Generation == 0 && op.round.readBallot.Number == 0
 	switch {
 	case read.State == Ended:
@@ -250,7 +250,7 @@
 }
 
 func (m *Manager) newLease(op *operation, generation uint32) Value {
-	return Value{Generation: generation, State: Held, Owner: m.options.Author, Fingerprint: op.request.Fingerprint}
+	return Value{Generation: generation, State: Held, Owner: m.options.ProcessID, Fingerprint: op.request.Fingerprint}
 }
 
 // unknownOwnerTimeoutMS is how long after the start an owner that was never
@@ -260,7 +260,7 @@
 // ownerHasLeft reports whether the process that owns a lease has ended, as far as is
 // known. A wrong answer costs a client its outcome or some time, nothing else.
 func (m *Manager) ownerHasLeft(owner uint64) bool {
-	if owner == m.options.Author {
+	if owner == m.options.ProcessID {
 		return false
 	}
 	for peer, author := range m.members.authors {
--- a/internal/lease/recovery.go
+++ b/internal/lease/recovery.go
@@ -37,7 +37,7 @@
 // inRecoveryQuietPeriod reports whether rounds may still be under way in which the process
 // before this one has voted.
 func (m *Manager) inRecoveryQuietPeriod() bool {
-	return m.nowMS < m.recovery.startedAtMS+m.options.Times.RecoveryQuietMS
+	return m.nowMS < m.recovery.startedAtMS+m.options.Times.RecoveryDelayMS
 }
 
 // markEqual notes ranges that are equal to a member's copy.
--- a/internal/lease/requests.go
+++ b/internal/lease/requests.go
@@ -137,7 +137,7 @@
 func (m *Manager) completed(r *record, outcome []byte) {
 	ended := r.value
 	ended.State = Ended
-	ended.Owner = m.options.Author
+	ended.Owner = m.options.ProcessID
 	ended.Outcome = outcome[:min(len(outcome), MaxOutcomeBytes)]
 	m.learn(r, r.accepted, ended)
 	m.startAnnouncing(r)
--- a/internal/lease/wire.go
+++ b/internal/lease/wire.go
@@ -159,17 +159,17 @@
 	case fieldBallot:
 		err = m.ballot.decodeNumber(value)
 	case fieldBallotAuthor:
-		m.ballot.Author = value
+		m.ballot.ProposerID = value
 	case fieldRejected:
 		m.rejected = value != 0
 	case fieldPromised:
 		err = m.promised.decodeNumber(value)
 	case fieldPromisedAuthor:
-		m.promised.Author = value
+		m.promised.ProposerID = value
 	case fieldAccepted:
 		err = m.accepted.decodeNumber(value)
 	case fieldAcceptedAuthor:
-		m.accepted.Author = value
+		m.accepted.ProposerID = value
 	case fieldValue:
 		m.value, err = decodeValue(body)
 	case fieldDigest:
@@ -207,7 +207,7 @@
 		return encoded
 	}
 	encoded = pbuf.AppendUint(encoded, first, uint64(b.Number))
-	return pbuf.AppendFixed64(encoded, first+1, b.Author)
+	return pbuf.AppendFixed64(encoded, first+1, b.ProposerID)
 }
 
 func (b *Ballot) decodeNumber(value uint64) (err error) {
@@ -296,7 +296,7 @@
 		case recordAccepted:
 			err = c.accepted.decodeNumber(value)
 		case recordAcceptedAuthor:
-			c.accepted.Author = value
+			c.accepted.ProposerID = value
 		case recordValue:
 			c.value, err = decodeValue(body)
 		case recordAgeSeconds:
@@ -304,7 +304,7 @@
 		case recordPromised:
 			err = c.promised.decodeNumber(value)
 		case recordPromisedAuthor:
-			c.promised.Author = value
+			c.promised.ProposerID = value
 		default: // a field of a later version
 		}
 		return err
--- a/internal/lease/wire_test.go
+++ b/internal/lease/wire_test.go
@@ -53,7 +53,7 @@
 	if got, err := decode(tooLarge); !errors.Is(err, pbuf.ErrMalformed) {
 		t.Errorf("a larger nonce: %v, %+v", err, got)
 	}
-	m := New(Options{Author: 1}, 1)
+	m := New(Options{ProcessID: 1}, 1)
 	m.Apply(0, Start{})
 	if effects := m.Apply(1, MessageReceived{Peer{Number: 1}, tooLarge}); len(effects.Sends) > 0 {
 		t.Errorf("a malformed message is answered: %+v", effects.Sends)
--- a/internal/replication/antientropy.go
+++ b/internal/replication/antientropy.go
@@ -88,13 +88,13 @@
 	lacking, wanted := r.tree.Compare(msg.exchange.Content)
 	r.sendRegisters(from, lacking)
 	if len(wanted) > 0 {
-		r.send(from, &message{verb: verbRequest, exchange: antientropy.Exchange{Wanted: wanted}})
+		r.send(from, &message{verb: verbRequest, exchange: antientropy.Exchange{Requested: wanted}})
 	}
 }
 
 // receiveRequest sends the registers that a member has requested.
 func (r *Replica) receiveRequest(from Peer, msg *message) {
-	r.sendRegisters(from, r.tree.FindAll(msg.exchange.Wanted))
+	r.sendRegisters(from, r.tree.FindAll(msg.exchange.Requested))
 }
 
 // noteDifference notes that a member's copy differs, and that it is compared again
--- a/internal/replication/compat_test.go
+++ b/internal/replication/compat_test.go
@@ -45,7 +45,7 @@
 		{Name: "sums", Value: message{verb: verbRangeSums, ready: true, exchange: antientropy.Exchange{Content: sums}}},
 		{Name: "items", Value: message{verb: verbRangeItems, exchange: antientropy.Exchange{Content: items}}},
 		{Name: "want", Value: message{verb: verbRequest, ready: true, exchange: antientropy.Exchange{
-			Wanted: []uint64{0x0102030405060708, 1},
+			Requested: []uint64{0x0102030405060708, 1},
 		}}},
 	}
 	encode := func(m message) []byte {
--- a/internal/replication/wire_test.go
+++ b/internal/replication/wire_test.go
@@ -34,7 +34,7 @@
 		Range: antientropy.Range{Level: 1, Index: 15}, Sums: make([]uint32, antientropy.Fanout),
 	}}})
 	probe := encode(message{verb: verbProbe, digest: 5, ready: true})
-	request := encode(message{verb: verbRequest, exchange: antientropy.Exchange{Wanted: []uint64{1, 2}}})
+	request := encode(message{verb: verbRequest, exchange: antientropy.Exchange{Requested: []uint64{1, 2}}})
 	for _, encoded := range []string{items, sums, probe, request} {
 		if _, err := decode([]byte(encoded)); err != nil {
 			t.Fatalf("%x: %v", encoded, err)
