--- a/internal/antientropy/compare.go
+++ b/internal/antientropy/compare.go
@@ -9,8 +9,8 @@
 	// maxItems bounds the items of a message. A range of the lowest level may have
 	// more entries.
 	maxItems = 18
-	// maxWanted bounds the entries that are requested with one message.
-	maxWanted = 26
+	// maxRequested bounds the entries that are requested with one message.
+	maxRequested = 26
 )
 
 // Range names a range of hashes by its level below the whole set, which is
@@ -73,7 +73,7 @@
 func (t *Tree[E]) Sums(r Range) []uint32 {
 	sums := make([]uint32, 0, Fanout)
 	for _, sum := range t.sums[r.Level+1][r.Index*Fanout : (r.Index+1)*Fanout] {
-		sums = append(sums, shorten(sum))
+		sums = append(sums, shortDigest(sum))
 	}
 	return sums
 }
@@ -84,12 +84,12 @@
 // Descend calls visit with what this copy holds in those children of a range whose
 // digests in another copy differ, until hasBudget reports false. It starts at a
 // random child, so that a small budget does not always go to the same ones.
-func (t *Tree[E]) Descend(r Range, theirs []uint32, rng *rand.Rand, hasBudget func() bool, visit func(RangeContent)) {
-	ours := t.Sums(r)
+func (t *Tree[E]) Descend(r Range, remote []uint32, rng *rand.Rand, hasBudget func() bool, visit func(RangeContent)) {
+	local := t.Sums(r)
 	first := rng.IntN(Fanout)
 	for k := range Fanout {
 		i := (first + k) % Fanout
-		if ours[i] == theirs[i] {
+		if local[i] == remote[i] {
 			continue
 		}
 		if !hasBudget() {
@@ -108,7 +108,7 @@
 	content := RangeContent{Range: r}
 	for _, e := range t.entries(r) {
 		if sum := e.Sum(); sum != 0 {
-			content.Items = append(content.Items, Item{Hash: e.Hash(), Sum: shorten(sum)})
+			content.Items = append(content.Items, Item{Hash: e.Hash(), Sum: shortDigest(sum)})
 		}
 	}
 	if len(content.Items) > maxItems {
@@ -124,27 +124,27 @@
 // Compare compares a range with the entries that another copy lists. It returns
 // the entries of this copy that the other one lacks or has with another content,
 // and the hashes of the entries for which that is so the other way round.
-func (t *Tree[E]) Compare(theirs RangeContent) (lacking []E, wanted []uint64) {
+func (t *Tree[E]) Compare(remote RangeContent) (toSend []E, toRequest []uint64) {
 	unmatched := map[uint64]uint32{} // sums by hash
-	for _, item := range theirs.Items {
+	for _, item := range remote.Items {
 		unmatched[item.Hash] = item.Sum
 	}
-	for _, e := range t.entries(theirs.Range) {
-		theirSum, isListed := unmatched[e.Hash()]
-		ourSum := e.Sum()
-		isEqual := isListed && theirSum == shorten(ourSum)
-		isMissing := !isListed && !theirs.Partial
-		if ourSum != 0 && (isListed && !isEqual || isMissing) {
-			lacking = append(lacking, e)
+	for _, e := range t.entries(remote.Range) {
+		remoteSum, isListed := unmatched[e.Hash()]
+		localSum := e.Sum()
+		isEqual := isListed && remoteSum == shortDigest(localSum)
+		isMissing := !isListed && !remote.Partial
+		if localSum != 0 && (isListed && !isEqual || isMissing) {
+			toSend = append(toSend, e)
 		}
 		if isEqual {
 			delete(unmatched, e.Hash())
 		}
 	}
-	for _, item := range theirs.Items {
-		if _, isUnmatched := unmatched[item.Hash]; isUnmatched && len(wanted) < maxWanted {
-			wanted = append(wanted, item.Hash)
+	for _, item := range remote.Items {
+		if _, isUnmatched := unmatched[item.Hash]; isUnmatched && len(toRequest) < maxRequested {
+			toRequest = append(toRequest, item.Hash)
 		}
 	}
-	return lacking, wanted
+	return toSend, toRequest
 }
--- a/internal/antientropy/compat_test.go
+++ b/internal/antientropy/compat_test.go
@@ -56,12 +56,12 @@
 	check("sums-of-2-0", AppendSums(nil, tree.Sums(Range{Level: 2, Index: 0})))
 	check("mix", AppendHashes(nil, []uint64{Mix(0), Mix(1), Mix(1<<64 - 1)}))
 	differing := Range{Level: 1, Index: 15}
-	theirs := tree.Sums(differing)
-	theirs[3]++
+	remote := tree.Sums(differing)
+	remote[3]++
 	var contents []RangeContent
-	always := func() bool { return true }
+	unlimited := func() bool { return true }
 	visit := func(content RangeContent) { contents = append(contents, content) }
-	tree.Descend(differing, theirs, rand.New(rand.NewPCG(1, 2)), always, visit)
+	tree.Descend(differing, remote, rand.New(rand.NewPCG(1, 2)), unlimited, visit)
 	if len(contents) != 1 || contents[0].Range != (Range{Level: 2, Index: 243}) || contents[0].Partial {
 		t.Fatalf("%+v", contents)
 	}
--- a/internal/antientropy/tree.go
+++ b/internal/antientropy/tree.go
@@ -58,8 +58,8 @@
 	return Mix(hash.Sum64())
 }
 
-// shorten returns a digest in the 4 bytes in which it is sent.
-func shorten(sum uint64) uint32 { return uint32(Mix(sum)) }
+// shortDigest returns a digest in the 4 bytes in which it is sent.
+func shortDigest(sum uint64) uint32 { return uint32(Mix(sum)) }
 
 // rangeIndex returns the range of a level that a hash falls into.
 func rangeIndex(level int, hash uint64) int { return int(hash >> (hashBits - bitsPerLevel*level)) }
--- a/internal/antientropy/tree_test.go
+++ b/internal/antientropy/tree_test.go
@@ -18,51 +18,51 @@
 		common    = 600
 		different = 20
 	)
-	ours, theirs := New[testEntry](), New[testEntry]()
-	onlyOurs, onlyTheirs := map[testEntry]bool{}, map[uint64]bool{}
+	local, remote := New[testEntry](), New[testEntry]()
+	onlyLocal, onlyRemote := map[testEntry]bool{}, map[uint64]bool{}
 	for i := range common {
-		ours.Insert(testEntry(i))
-		theirs.Insert(testEntry(i))
+		local.Insert(testEntry(i))
+		remote.Insert(testEntry(i))
 	}
 	for i := range different {
-		left, right := testEntry(common+2*i), testEntry(common+2*i+1)
-		ours.Insert(left)
-		theirs.Insert(right)
-		onlyOurs[left] = true
-		onlyTheirs[right.Hash()] = true
+		onlyHere, onlyThere := testEntry(common+2*i), testEntry(common+2*i+1)
+		local.Insert(onlyHere)
+		remote.Insert(onlyThere)
+		onlyLocal[onlyHere] = true
+		onlyRemote[onlyThere.Hash()] = true
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	always := func() bool { return true }
+	unlimited := func() bool { return true }
 	var compare func(from, to *Tree[testEntry], content RangeContent)
 	compare = func(from, to *Tree[testEntry], content RangeContent) {
 		if content.Sums != nil {
-			to.Descend(content.Range, content.Sums, rng, always, func(child RangeContent) { compare(to, from, child) })
+			to.Descend(content.Range, content.Sums, rng, unlimited, func(child RangeContent) { compare(to, from, child) })
 			return
 		}
-		lacking, wanted := to.Compare(content)
-		for _, e := range lacking {
-			checkFound(t, to == ours, onlyOurs, onlyTheirs, e.Hash(), e)
+		toSend, toRequest := to.Compare(content)
+		for _, e := range toSend {
+			checkFound(t, to == local, onlyLocal, onlyRemote, e.Hash(), e)
 		}
-		for _, hash := range wanted {
+		for _, hash := range toRequest {
 			for _, e := range from.Find(hash) {
-				checkFound(t, from == ours, onlyOurs, onlyTheirs, hash, e)
+				checkFound(t, from == local, onlyLocal, onlyRemote, hash, e)
 			}
 		}
 	}
-	compare(ours, theirs, RangeContent{Sums: ours.Sums(Range{})})
-	if len(onlyOurs) > 0 || len(onlyTheirs) > 0 {
-		t.Errorf("not found: %d of ours, %d of theirs", len(onlyOurs), len(onlyTheirs))
+	compare(local, remote, RangeContent{Sums: local.Sums(Range{})})
+	if len(onlyLocal) > 0 || len(onlyRemote) > 0 {
+		t.Errorf("not found: %d local and %d remote entries", len(onlyLocal), len(onlyRemote))
 	}
 }
 
 // checkFound checks off an entry that a comparison found in only one copy.
-func checkFound(t *testing.T, isOurs bool, onlyOurs map[testEntry]bool, onlyTheirs map[uint64]bool, hash uint64, e testEntry) {
+func checkFound(t *testing.T, isLocal bool, onlyLocal map[testEntry]bool, onlyRemote map[uint64]bool, hash uint64, e testEntry) {
 	t.Helper()
-	if isOurs != onlyOurs[e] || !isOurs != onlyTheirs[hash] {
-		t.Errorf("entry %d is found only in our copy: %v", e, isOurs)
+	if isLocal != onlyLocal[e] || !isLocal != onlyRemote[hash] {
+		t.Errorf("entry %d is found only in the local copy: %v", e, isLocal)
 	}
-	delete(onlyOurs, e)
-	delete(onlyTheirs, hash)
+	delete(onlyLocal, e)
+	delete(onlyRemote, hash)
 }
 
 // TestRemove checks that a removed entry leaves the tree as if it had never been
--- a/internal/antientropy/wire.go
+++ b/internal/antientropy/wire.go
@@ -29,7 +29,7 @@
 	sumsField
 	itemsField
 	partialField
-	wantedField
+	requestedField
 )
 
 const (
@@ -48,7 +48,7 @@
 	b = pbuf.AppendBytes(b, first+sumsField, AppendSums(nil, x.Content.Sums))
 	b = pbuf.AppendBytes(b, first+itemsField, AppendItems(nil, x.Content.Items))
 	b = pbuf.AppendBool(b, first+partialField, x.Content.Partial)
-	return pbuf.AppendBytes(b, first+wantedField, AppendHashes(nil, x.Requested))
+	return pbuf.AppendBytes(b, first+requestedField, AppendHashes(nil, x.Requested))
 }
 
 // DecodeField reads one field, given the number of the first one. Fields that are
@@ -66,7 +66,7 @@
 		x.Content.Items, err = DecodeItems(body)
 	case partialField:
 		x.Content.Partial = value != 0
-	case wantedField:
+	case requestedField:
 		x.Requested, err = DecodeHashes(body)
 	default: // not of an Exchange
 	}
--- a/internal/antientropy/wire_test.go
+++ b/internal/antientropy/wire_test.go
@@ -19,7 +19,7 @@
 	x := Exchange{Content: RangeContent{Range: Range{Level: 3, Index: 4095}, Items: items, Partial: true}}
 	encoded := pbuf.AppendUint(nil, first-1, 7)
 	encoded = x.Append(encoded, first)
-	encoded = pbuf.AppendBytes(encoded, first+wantedField+1, []byte("x"))
+	encoded = pbuf.AppendBytes(encoded, first+requestedField+1, []byte("x"))
 	var got Exchange
 	err := pbuf.ForEachField(encoded, func(field protowire.Number, value uint64, body []byte) error {
 		return got.DecodeField(first, field, value, body)
--- a/internal/lease/antientropy.go
+++ b/internal/lease/antientropy.go
@@ -6,9 +6,9 @@
 	"dewhill/internal/antientropy"
 )
 
-// compareCopies starts a comparison with a random live member, or with all while
+// startComparison starts a comparison with a random live member, or with all while
 // this member catches up.
-func (m *Manager) compareCopies() {
+func (m *Manager) startComparison() {
 	m.nextCompareMS = m.nowMS + m.options.Times.CompareIntervalMS*(0.9+0.2*m.rng.Float64())
 	if !m.CanVote() {
 		m.nextCompareMS = m.nowMS + recoveryCompareIntervalMS
@@ -64,10 +64,10 @@
 // receiveRangeItems sends the records that a member lacks, and requests those
 // that are lacking here.
 func (m *Manager) receiveRangeItems(from Peer, msg *message) {
-	lacking, wanted := m.records.tree.Compare(msg.exchange.Content)
-	m.sendRecords(from, lacking)
-	if len(wanted) > 0 {
-		m.send(from, &message{verb: verbRecordRequest, exchange: antientropy.Exchange{Requested: wanted}})
+	toSend, toRequest := m.records.tree.Compare(msg.exchange.Content)
+	m.sendRecords(from, toSend)
+	if len(toRequest) > 0 {
+		m.send(from, &message{verb: verbRecordRequest, exchange: antientropy.Exchange{Requested: toRequest}})
 	}
 }
 
@@ -110,7 +110,7 @@
 			encoded = append(encoded, m.copyOf(r).append(nil))
 		}
 	}
-	header := (&message{verb: verbRecords, canVote: m.CanVote(), author: m.options.ProcessID}).append(nil)
+	header := (&message{verb: verbRecords, canVote: m.CanVote(), senderID: m.options.ProcessID}).append(nil)
 	for _, body := range antientropy.Pack(encoded, m.options.MaxMessageBytes-maxRecordsHeaderBytes) {
 		if m.budget.Allows(len(body)) {
 			m.sendBytes(to, slices.Concat(header, body))
--- a/internal/lease/compat_test.go
+++ b/internal/lease/compat_test.go
@@ -21,8 +21,8 @@
 // TestCompatMessages checks that front ends of the previous version read each
 // message about leases, field by field.
 func TestCompatMessages(t *testing.T) {
-	const author = 0x0102030405060708
-	ballot, laterBallot := Ballot{7, author}, Ballot{1 << 30, 9}
+	const processID = 0x0102030405060708
+	ballot, laterBallot := Ballot{7, processID}, Ballot{1 << 30, 9}
 	rangeSums := []uint32{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 0xfffffffe, 0xffffffff}
 	rangeItems := []antientropy.Item{{Hash: 0x0102030405060708, Sum: 9}, {Hash: 1, Sum: 0xffffffff}}
 	records := []recordCopy{
@@ -32,52 +32,52 @@
 	}
 	cases := []goldentest.Case[message]{
 		{Name: "prepare", Value: message{
-			verb: verbPrepare, canVote: true, author: author, key: compatKey, ballot: ballot,
+			verb: verbPrepare, canVote: true, senderID: processID, key: compatKey, ballot: ballot,
 		}},
 		{Name: "promise", Value: message{
-			verb: verbPromise, canVote: true, author: author, key: compatKey, ballot: ballot, accepted: laterBallot, value: compatLease,
+			verb: verbPromise, canVote: true, senderID: processID, key: compatKey, ballot: ballot, accepted: laterBallot, value: compatLease,
 		}},
 		{Name: "promise-no", Value: message{
-			verb: verbPromise, canVote: true, author: author, key: compatKey, ballot: ballot, rejected: true, promised: laterBallot,
+			verb: verbPromise, canVote: true, senderID: processID, key: compatKey, ballot: ballot, rejected: true, promised: laterBallot,
 		}},
 		{Name: "accept", Value: message{
-			verb: verbAccept, author: author, key: compatKey, ballot: ballot, value: compatLease,
+			verb: verbAccept, senderID: processID, key: compatKey, ballot: ballot, value: compatLease,
 		}},
 		{Name: "accept-free", Value: message{
-			verb: verbAccept, author: author, key: compatKey, ballot: ballot, value: Value{Generation: 4},
+			verb: verbAccept, senderID: processID, key: compatKey, ballot: ballot, value: Value{Generation: 4},
 		}},
 		{Name: "accepted", Value: message{
-			verb: verbAccepted, canVote: true, author: author, key: compatKey, ballot: ballot,
+			verb: verbAccepted, canVote: true, senderID: processID, key: compatKey, ballot: ballot,
 		}},
 		{Name: "accepted-ended", Value: message{
-			verb: verbAccepted, canVote: true, author: author, key: compatKey, ballot: ballot, accepted: laterBallot, value: compatEnded,
+			verb: verbAccepted, canVote: true, senderID: processID, key: compatKey, ballot: ballot, accepted: laterBallot, value: compatEnded,
 		}},
 		{Name: "fact", Value: message{
-			verb: verbOutcome, canVote: true, author: author, key: compatOtherKey, accepted: ballot, value: compatEnded,
+			verb: verbOutcome, canVote: true, senderID: processID, key: compatOtherKey, accepted: ballot, value: compatEnded,
 		}},
-		{Name: "known", Value: message{verb: verbOutcomeAck, author: author, key: compatOtherKey}},
+		{Name: "known", Value: message{verb: verbOutcomeAck, senderID: processID, key: compatOtherKey}},
 		{Name: "root", Value: message{
-			verb: verbProbe, nonce: 0xffffffff, author: author, digest: 0x1112131415161718,
+			verb: verbProbe, nonce: 0xffffffff, senderID: processID, digest: 0x1112131415161718,
 		}},
 		{Name: "same", Value: message{
-			verb: verbMatch, nonce: 1, canVote: true, author: author, digest: 0x1112131415161718,
+			verb: verbMatch, nonce: 1, canVote: true, senderID: processID, digest: 0x1112131415161718,
 		}},
 		{Name: "ask", Value: message{
-			verb: verbRangeRequest, nonce: 3, author: author,
+			verb: verbRangeRequest, nonce: 3, senderID: processID,
 			exchange: antientropy.Exchange{Content: antientropy.RangeContent{Range: antientropy.Range{Level: 1, Index: 15}}},
 		}},
 		{Name: "sums", Value: message{
-			verb: verbRangeSums, nonce: 3, canVote: true, author: author,
+			verb: verbRangeSums, nonce: 3, canVote: true, senderID: processID,
 			exchange: antientropy.Exchange{Content: antientropy.RangeContent{Range: antientropy.Range{Level: 2, Index: 255}, Sums: rangeSums}},
 		}},
 		{Name: "items", Value: message{
-			verb: verbRangeItems, author: author,
+			verb: verbRangeItems, senderID: processID,
 			exchange: antientropy.Exchange{Content: antientropy.RangeContent{Range: antientropy.Range{Level: 3, Index: 4095}, Items: rangeItems, Partial: true}},
 		}},
 		{Name: "want", Value: message{
-			verb: verbRecordRequest, author: author, exchange: antientropy.Exchange{Requested: []uint64{0x0102030405060708, 1}},
+			verb: verbRecordRequest, senderID: processID, exchange: antientropy.Exchange{Requested: []uint64{0x0102030405060708, 1}},
 		}},
-		{Name: "tell", Value: message{verb: verbRecords, canVote: true, author: author, records: records}},
+		{Name: "tell", Value: message{verb: verbRecords, canVote: true, senderID: processID, records: records}},
 	}
 	encode := func(m message) []byte {
 		b := m.append(nil)
@@ -109,7 +109,7 @@
 	for _, record := range want {
 		key := "claim/" + hex.EncodeToString(record.key[:])
 		got, err := decode(golden[key])
-		if err != nil || !reflect.DeepEqual(got, message{verb: verbRecords, author: 1, records: []recordCopy{record}}) {
+		if err != nil || !reflect.DeepEqual(got, message{verb: verbRecords, senderID: 1, records: []recordCopy{record}}) {
 			t.Errorf("%s decoded %+v, %v", key, got, err)
 		}
 		restored := m.records.byKey[record.key]
--- a/internal/lease/fleet_test.go
+++ b/internal/lease/fleet_test.go
@@ -94,8 +94,8 @@
 	f.paused[i] = false
 	deferred := f.deferred[i]
 	f.deferred[i] = nil
-	for _, do := range deferred {
-		do()
+	for _, callback := range deferred {
+		callback()
 	}
 }
 
@@ -176,9 +176,9 @@
 
 // persist writes a record to a front end's disk, unless it is killed before.
 func (f *fleet) persist(i int, p Persist) {
-	const diskMS = 5
+	const diskLatencyMS = 5
 	m := f.managers[i]
-	f.After(diskMS, func() {
+	f.After(diskLatencyMS, func() {
 		if f.managers[i] != m {
 			return
 		}
@@ -193,13 +193,13 @@
 
 // whenRunning does something in a process: at once, when it resumes, or not at all
 // if it is down.
-func (f *fleet) whenRunning(i int, do func()) {
+func (f *fleet) whenRunning(i int, callback func()) {
 	switch {
 	case f.managers[i] == nil:
 	case f.paused[i]:
-		f.deferred[i] = append(f.deferred[i], do)
+		f.deferred[i] = append(f.deferred[i], callback)
 	default:
-		do()
+		callback()
 	}
 }
 
@@ -222,7 +222,7 @@
 	marksRetry  bool // marks its retries as such
 	attempts    int
 	rejected    int // by NoQuorum
-	answer      string
+	response    string
 }
 
 // acquisition is an input of the linearizability checker.
@@ -253,15 +253,15 @@
 
 // attempt is one attempt of a client through one front end.
 type attempt struct {
-	f        *fleet
-	client   *client
-	history  *[]porcupine.Operation // nil: none is recorded
-	untilMS  float64                // after which the client gives up
-	frontEnd int
-	manager  *Manager
-	name     string
-	calledMS float64
-	answered bool
+	f         *fleet
+	client    *client
+	history   *[]porcupine.Operation // nil: none is recorded
+	untilMS   float64                // after which the client gives up
+	frontEnd  int
+	manager   *Manager
+	name      string
+	calledMS  float64
+	responded bool
 }
 
 // attempt has a client attempt its load through a random front end. A granted load
@@ -272,12 +272,12 @@
 	c.attempts++
 	a := &attempt{f: f, client: c, history: history, untilMS: untilMS, frontEnd: i, manager: f.managers[i], calledMS: f.NowMS}
 	if f.managers[i] == nil || f.paused[i] {
-		a.scheduleNext()
+		a.scheduleRetry()
 		return
 	}
 	f.ticket++
 	a.name = fmt.Sprintf("n%d#%d", i, f.ticket)
-	f.After(4000, func() { a.answer("") })
+	f.After(4000, func() { a.respond("") })
 	f.waiting[f.ticket] = a.decided
 	f.apply(i, AcquireRequest{
 		Key:         c.key,
@@ -288,23 +288,23 @@
 	})
 }
 
-// scheduleNext has the client try again, unless it has an answer.
-func (a *attempt) scheduleNext() {
-	if a.f.NowMS < a.untilMS && a.client.answer == "" {
+// scheduleRetry has the client try again, unless it has an answer.
+func (a *attempt) scheduleRetry() {
+	if a.f.NowMS < a.untilMS && a.client.response == "" {
 		a.f.After(20+400*a.f.rng.Float64(), func() { a.f.attempt(a.client, a.history, a.untilMS) })
 	}
 }
 
-// answer gives the client its answer, or "" for none. Only the first one counts.
-func (a *attempt) answer(text string) {
-	if a.answered {
+// respond gives the client its answer, or "" for none. Only the first one counts.
+func (a *attempt) respond(text string) {
+	if a.responded {
 		return
 	}
-	a.answered = true
-	if text != "" && a.client.answer == "" {
-		a.client.answer = text
+	a.responded = true
+	if text != "" && a.client.response == "" {
+		a.client.response = text
 	}
-	a.scheduleNext()
+	a.scheduleRetry()
 }
 
 func (a *attempt) decided(d Decision) {
@@ -315,16 +315,16 @@
 		// A front end that is paused with the grant in hand goes on later.
 		a.f.After(30*a.f.rng.Float64(), func() { a.f.whenRunning(a.frontEnd, a.run) })
 	case AlreadyCompleted:
-		a.answer(string(d.Outcome))
+		a.respond(string(d.Outcome))
 	case PossiblyRan:
-		a.answer("may have run")
+		a.respond("may have run")
 	case NoQuorum:
 		a.client.rejected++
-		a.answer("")
+		a.respond("")
 	case Forgotten:
-		a.answer("unknown")
+		a.respond("unknown")
 	case Conflict, RunningElsewhere:
-		a.answer("")
+		a.respond("")
 	}
 }
 
@@ -360,7 +360,7 @@
 		if a.history != nil { // another attempt may be granted the lease
 			appendPending(a.history, acquisition{a.client.key, a.name, release}, a.calledMS)
 		}
-		a.answer("")
+		a.respond("")
 		return
 	}
 	f.runs[a.client.key] = append(f.runs[a.client.key], a.name)
@@ -373,7 +373,7 @@
 	}
 	outcome := "of " + a.name
 	a.f.apply(a.frontEnd, Released{Key: a.client.key, Result: Completed, Outcome: []byte(outcome)})
-	a.answer(outcome)
+	a.respond(outcome)
 }
 
 // testKey returns a distinct key for each number.
--- a/internal/lease/linearizability_test.go
+++ b/internal/lease/linearizability_test.go
@@ -51,9 +51,9 @@
 	return parts
 }
 
-// playContention simulates many clients on few keys, with a partition meanwhile,
+// simulateContention simulates many clients on few keys, with a partition meanwhile,
 // and returns the history of their requests.
-func playContention(seed uint64) (history []porcupine.Operation) {
+func simulateContention(seed uint64) (history []porcupine.Operation) {
 	const (
 		keys          = 40
 		clientsPerKey = 4
@@ -85,7 +85,7 @@
 func TestLeasesAreLinearizable(t *testing.T) {
 	for seed := uint64(1); seed <= 10; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			history := playContention(seed)
+			history := simulateContention(seed)
 			if porcupine.CheckOperationsTimeout(leaseModel, history, 20*time.Second) != porcupine.Ok {
 				t.Error("the history is not linearizable")
 			}
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -70,7 +70,7 @@
 	m.budget.Refill(m.nowMS)
 	m.handle(ev)
 	if m.started {
-		m.runDue()
+		m.runDueActions()
 	}
 	return &m.effects
 }
@@ -80,7 +80,7 @@
 	case Start:
 		m.start()
 	case TimerFired:
-		// runDue does all that is due.
+		// runDueActions does all that is due.
 	case MessageReceived:
 		m.receive(ev)
 	case MembersChanged:
@@ -88,9 +88,9 @@
 	case AcquireRequest:
 		m.acquire(ev)
 	case Released:
-		m.released(ev)
+		m.handleReleased(ev)
 	case Persisted:
-		m.persisted(ev.Token)
+		m.handlePersisted(ev.Token)
 	}
 }
 
@@ -120,8 +120,8 @@
 	m.restore()
 }
 
-// runDue does what is due and sets the time of the next timer.
-func (m *Manager) runDue() {
+// runDueActions does what is due and sets the time of the next timer.
+func (m *Manager) runDueActions() {
 	m.runOperations()
 	m.announceOutcomes()
 	m.evictExpired()
@@ -129,7 +129,7 @@
 		m.finishRecoveryIfCaughtUp()
 	}
 	if m.nowMS >= m.nextCompareMS {
-		m.compareCopies()
+		m.startComparison()
 	}
 	m.nextTimerMS = m.nextCompareMS
 	for _, op := range m.operations {
@@ -142,20 +142,20 @@
 
 // members is this front end's view of the fleet.
 type members struct {
-	alive, all  []Peer
-	clusterSize int             // members, with this front end
-	authors     map[Peer]uint64 // the process that a member was last heard to be
-	lastSeen    map[Peer]sighting
+	alive, all   []Peer
+	clusterSize  int             // members, with this front end
+	processIDs   map[Peer]uint64 // the process that a member was last heard to be
+	peerStatuses map[Peer]peerStatus
 }
 
-// sighting is when a member was last heard from, and whether it could vote.
-type sighting struct {
-	atMS    float64
-	canVote bool
+// peerStatus is when a member was last heard from, and whether it could vote.
+type peerStatus struct {
+	receivedAtMS float64
+	canVote      bool
 }
 
 func newMembers() members {
-	return members{clusterSize: 1, authors: map[Peer]uint64{}, lastSeen: map[Peer]sighting{}}
+	return members{clusterSize: 1, processIDs: map[Peer]uint64{}, peerStatuses: map[Peer]peerStatus{}}
 }
 
 func (s *members) update(ev MembersChanged) {
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -11,8 +11,8 @@
 	if !m.started {
 		return
 	}
-	m.members.authors[ev.From] = msg.author
-	m.members.lastSeen[ev.From] = sighting{atMS: m.nowMS, canVote: msg.canVote}
+	m.members.processIDs[ev.From] = msg.senderID
+	m.members.peerStatuses[ev.From] = peerStatus{receivedAtMS: m.nowMS, canVote: msg.canVote}
 	m.dispatch(ev.From, &msg)
 }
 
@@ -48,7 +48,7 @@
 // send sends a message with what every message says of its sender.
 func (m *Manager) send(to Peer, msg *message) {
 	msg.canVote = m.CanVote()
-	msg.author = m.options.ProcessID
+	msg.senderID = m.options.ProcessID
 	m.sendBytes(to, msg.append(nil))
 }
 
--- a/internal/lease/outcomes.go
+++ b/internal/lease/outcomes.go
@@ -22,8 +22,8 @@
 // announce sends an outcome to those who have not acknowledged it, until a quorum
 // and all live members have it. Others learn it when copies are compared.
 func (m *Manager) announce(r *record) {
-	isKnown := len(r.acknowledged)+1 >= m.quorum() && len(r.acknowledged) >= len(m.members.alive)
-	if isKnown || m.nowMS > r.createdAtMS+m.options.Times.RetentionMS {
+	isReplicated := len(r.acknowledged)+1 >= m.quorum() && len(r.acknowledged) >= len(m.members.alive)
+	if isReplicated || m.nowMS > r.createdAtMS+m.options.Times.RetentionMS {
 		r.announceAtMS = 0
 		r.acknowledged = nil
 		return
--- a/internal/lease/persistence.go
+++ b/internal/lease/persistence.go
@@ -9,8 +9,8 @@
 	voterMarkKey = "voter"
 )
 
-// persistedAuthor stands for the author in persisted records, which have none.
-const persistedAuthor = 1
+// persistedSenderID stands for the sender in persisted records, which have none.
+const persistedSenderID = 1
 
 func persistenceKey(key Key) string { return recordKeyPrefix + hex.EncodeToString(key[:]) }
 
@@ -39,21 +39,21 @@
 
 // persist writes a record to the disk, and then calls a function. Without a disk
 // it calls it at once.
-func (m *Manager) persist(r *record, then func()) {
+func (m *Manager) persist(r *record, done func()) {
 	if !m.options.Durable {
-		then()
+		done()
 		return
 	}
-	header := &message{verb: verbRecords, author: persistedAuthor}
-	token := m.write(persistenceKey(r.key), m.copyOf(r).append(header.append(nil)))
-	m.onPersisted[token] = then
+	header := &message{verb: verbRecords, senderID: persistedSenderID}
+	token := m.emitPersist(persistenceKey(r.key), m.copyOf(r).append(header.append(nil)))
+	m.onPersisted[token] = done
 }
 
-// persisted goes on with what waited for the disk.
-func (m *Manager) persisted(token uint64) {
-	then, waiting := m.onPersisted[token]
+// handlePersisted goes on with what waited for the disk.
+func (m *Manager) handlePersisted(token uint64) {
+	done, waiting := m.onPersisted[token]
 	if waiting {
-		then()
+		done()
 		delete(m.onPersisted, token)
 	}
 }
@@ -61,18 +61,18 @@
 // deletePersisted deletes an evicted record from the disk.
 func (m *Manager) deletePersisted(r *record) {
 	if m.options.Durable {
-		m.write(persistenceKey(r.key), nil)
+		m.emitPersist(persistenceKey(r.key), nil)
 	}
 }
 
 // persistVoterMark notes on the disk that it has all votes from now on.
 func (m *Manager) persistVoterMark() {
 	if m.options.Durable {
-		m.write(voterMarkKey, []byte{1})
+		m.emitPersist(voterMarkKey, []byte{1})
 	}
 }
 
-func (m *Manager) write(key string, encoded []byte) (token uint64) {
+func (m *Manager) emitPersist(key string, encoded []byte) (token uint64) {
 	m.persistToken++
 	m.effects.Persists = append(m.effects.Persists, Persist{Token: m.persistToken, Key: key, Record: encoded})
 	return m.persistToken
--- a/internal/lease/proposer.go
+++ b/internal/lease/proposer.go
@@ -110,12 +110,12 @@
 	if msg.value.State == Ended {
 		m.learn(m.recordOf(msg.key), msg.accepted, msg.value)
 	}
-	answered := phaseAccepting
+	replyPhase := phaseAccepting
 	if msg.verb == verbPromise {
-		answered = phasePreparing
+		replyPhase = phasePreparing
 	}
 	for _, op := range m.operations {
-		if op.key != msg.key || op.finished || op.round.ballot != msg.ballot || op.round.phase != answered {
+		if op.key != msg.key || op.finished || op.round.ballot != msg.ballot || op.round.phase != replyPhase {
 			continue
 		}
 		if msg.rejected {
@@ -123,16 +123,16 @@
 			m.scheduleNextRound(op, msg.promised.Number)
 			continue
 		}
-		if answered == phasePreparing {
-			op.round.readPromise(msg)
+		if replyPhase == phasePreparing {
+			op.round.mergePromise(msg)
 		}
 		op.round.votes[from] = true
 		m.checkQuorum(op)
 	}
 }
 
-// readPromise keeps the value with the highest ballot, or an outcome.
-func (r *round) readPromise(msg *message) {
+// mergePromise keeps the value with the highest ballot, or an outcome.
+func (r *round) mergePromise(msg *message) {
 	if r.read.State == Ended {
 		return
 	}
@@ -161,7 +161,7 @@
 	case m.isExpired(&op.round):
 		m.scheduleNextRound(op, 0)
 	case op.round.phase == phaseAccepting:
-		m.chosen(op)
+		m.finishRound(op)
 	case m.chooseProposal(op):
 		m.startAccepting(op)
 	}
@@ -263,17 +263,17 @@
 	if owner == m.options.ProcessID {
 		return false
 	}
-	for peer, author := range m.members.authors {
-		if author == owner {
+	for peer, processID := range m.members.processIDs {
+		if processID == owner {
 			return !slices.Contains(m.members.alive, peer)
 		}
 	}
 	return m.nowMS > m.recovery.startedAtMS+unknownOwnerTimeoutMS
 }
 
-// chosen finishes a round whose proposal a quorum has accepted.
-func (m *Manager) chosen(op *operation) {
-	op.quorumAnswered = true
+// finishRound finishes a round whose proposal a quorum has accepted.
+func (m *Manager) finishRound(op *operation) {
+	op.hadQuorum = true
 	r := m.recordOf(op.key)
 	m.learn(r, op.round.ballot, op.round.proposal)
 	if op.request == nil {
--- a/internal/lease/recovery.go
+++ b/internal/lease/recovery.go
@@ -12,8 +12,8 @@
 	recoveryRanges = antientropy.Fanout * antientropy.Fanout
 	// recoveryCompareIntervalMS is between comparisons of a member that catches up.
 	recoveryCompareIntervalMS = 150.0
-	// recentlySeenMS is for how long after a message its sender counts as running.
-	recentlySeenMS = 3000.0
+	// peerStatusValidMS is for how long after a message its sender counts as running.
+	peerStatusValidMS = 3000.0
 )
 
 // recovery tracks how a member that lost its votes catches up with the voters.
@@ -34,15 +34,15 @@
 	return ranges != nil && !slices.Contains(ranges[:], false)
 }
 
-// inRecoveryQuietPeriod reports whether rounds may still be under way in which the process
+// inRecoveryDelay reports whether rounds may still be under way in which the process
 // before this one has voted.
-func (m *Manager) inRecoveryQuietPeriod() bool {
+func (m *Manager) inRecoveryDelay() bool {
 	return m.nowMS < m.recovery.startedAtMS+m.options.Times.RecoveryDelayMS
 }
 
 // markEqual notes ranges that are equal to a member's copy.
 func (m *Manager) markEqual(peer Peer, first, count int, peerCanVote bool) {
-	if m.CanVote() || !peerCanVote || m.inRecoveryQuietPeriod() {
+	if m.CanVote() || !peerCanVote || m.inRecoveryDelay() {
 		return
 	}
 	ranges := m.recovery.matched[peer]
@@ -81,7 +81,7 @@
 // finishRecoveryIfCaughtUp lets this member vote once it has caught up with enough
 // voters, or when a majority has lost its state too.
 func (m *Manager) finishRecoveryIfCaughtUp() {
-	if m.inRecoveryQuietPeriod() {
+	if m.inRecoveryDelay() {
 		return
 	}
 	caughtUpWith := 0
@@ -91,8 +91,8 @@
 		}
 	}
 	withoutState := 1
-	for _, seen := range m.members.lastSeen {
-		if !seen.canVote && seen.atMS > m.nowMS-recentlySeenMS {
+	for _, status := range m.members.peerStatuses {
+		if !status.canVote && status.receivedAtMS > m.nowMS-peerStatusValidMS {
 			withoutState++
 		}
 	}
--- a/internal/lease/requests.go
+++ b/internal/lease/requests.go
@@ -83,7 +83,7 @@
 	decision          DecisionKind // to give once the round's proposal is chosen
 	failedRounds      int
 	seenBallot        uint32 // highest ballot number that preempted a round
-	quorumAnswered    bool   // at least one round was decided
+	hadQuorum         bool   // at least one round was decided
 	mayBeHeld         bool   // a proposal that this process holds the lease may be chosen
 	heldGeneration    uint32 // of that proposal
 	finished          bool
@@ -93,7 +93,7 @@
 // answers, so that a client on the minority side of a partition gets its answer
 // at once.
 func (op *operation) endMS(noQuorumAfterMS float64) float64 {
-	if op.request != nil && !op.quorumAnswered {
+	if op.request != nil && !op.hadQuorum {
 		return min(op.deadlineMS, op.startedAtMS+noQuorumAfterMS)
 	}
 	return op.deadlineMS
@@ -115,8 +115,8 @@
 	})
 }
 
-// released processes the result of a load that this front end ran.
-func (m *Manager) released(ev Released) {
+// handleReleased processes the result of a load that this front end ran.
+func (m *Manager) handleReleased(ev Released) {
 	r := m.recordOf(ev.Key)
 	if !r.running {
 		return
@@ -124,7 +124,7 @@
 	r.running = false
 	switch ev.Result {
 	case Completed:
-		m.completed(r, ev.Outcome)
+		m.recordOutcome(r, ev.Outcome)
 	case NeverRan:
 		r.grantedGeneration = 0
 		m.releaseUnused(r.key, r.value.Generation)
@@ -133,8 +133,8 @@
 	}
 }
 
-// completed records the outcome of a load and begins to announce it.
-func (m *Manager) completed(r *record, outcome []byte) {
+// recordOutcome records the outcome of a load and begins to announce it.
+func (m *Manager) recordOutcome(r *record, outcome []byte) {
 	ended := r.value
 	ended.State = Ended
 	ended.Owner = m.options.ProcessID
--- a/internal/lease/safety_test.go
+++ b/internal/lease/safety_test.go
@@ -12,23 +12,23 @@
 	text   string
 }
 
-// playFaults simulates loads and faults, and returns the rules that were broken:
+// simulateFaults simulates loads and faults, and returns the rules that were broken:
 // loads that ran twice, answers that differ from what ran, and loads without an
 // answer.
-func playFaults(seed uint64, size, loads int, durable bool) (f *fleet, violations []violation) {
-	const faultsForMS = 20_000
+func simulateFaults(seed uint64, size, loads int, durable bool) (f *fleet, violations []violation) {
+	const faultPeriodMS = 20_000
 	f = newFleet(seed, size, durable, Options{})
 	f.Run(10_000) // until members without state vote
 	f.lossRate = 0.1 * f.rng.Float64()
-	endMS := f.NowMS + faultsForMS
+	endMS := f.NowMS + faultPeriodMS
 	var clients []*client
 	for n := range loads {
 		c := &client{key: testKey(n), fingerprint: uint64(n) + 7}
 		clients = append(clients, c)
-		f.After(faultsForMS*f.rng.Float64(), func() { f.attempt(c, nil, endMS+60_000) })
+		f.After(faultPeriodMS*f.rng.Float64(), func() { f.attempt(c, nil, endMS+60_000) })
 	}
 	for range 6 {
-		f.After(faultsForMS*f.rng.Float64(), func() { f.disturbMinority() })
+		f.After(faultPeriodMS*f.rng.Float64(), func() { f.injectMinorityFaults() })
 	}
 	f.Run(endMS + 61_000 - f.NowMS)
 	for _, c := range clients {
@@ -39,46 +39,46 @@
 	return f, violations
 }
 
-// disturbMinority kills, pauses or partitions some front ends for a while, so that
+// injectMinorityFaults kills, pauses or partitions some front ends for a while, so that
 // a majority stays healthy.
-func (f *fleet) disturbMinority() {
+func (f *fleet) injectMinorityFaults() {
 	size := len(f.managers)
 	minority := (size - 1) / 2
 	isHealthy := func(i int) bool {
 		return f.managers[i] != nil && !f.paused[i] && f.partition[i] == 0 && f.managers[i].CanVote()
 	}
 	targets := f.rng.Perm(size)[:1+f.rng.IntN(minority)]
-	disturbed := 0
+	faulty := 0
 	for i := range f.managers {
 		if !isHealthy(i) {
-			disturbed++
+			faulty++
 		}
 	}
 	for _, i := range targets {
-		if disturbed >= minority || !isHealthy(i) {
+		if faulty >= minority || !isHealthy(i) {
 			continue
 		}
-		disturbed++
-		f.disturb(i, 200+8000*f.rng.Float64())
+		faulty++
+		f.injectFault(i, 200+8000*f.rng.Float64())
 	}
 }
 
-func (f *fleet) disturb(i int, forMS float64) {
+func (f *fleet) injectFault(i int, durationMS float64) {
 	switch f.rng.IntN(3) {
 	case 0:
 		f.kill(i)
-		f.After(forMS, func() { f.start(i) })
+		f.After(durationMS, func() { f.start(i) })
 	case 1:
 		f.paused[i] = true
 		f.updateAllMembers()
-		f.After(forMS, func() {
+		f.After(durationMS, func() {
 			f.resume(i)
 			f.updateAllMembers()
 		})
 	default:
 		f.partition[i] = 1 + f.rng.IntN(2)
 		f.updateAllMembers()
-		f.After(forMS, func() {
+		f.After(durationMS, func() {
 			f.partition[i] = 0
 			f.updateAllMembers()
 		})
@@ -91,10 +91,10 @@
 	switch {
 	case len(runs) > 1:
 		return &violation{safety: true, text: fmt.Sprintf("load %x ran by %v", c.key[:4], runs)}
-	case c.answer == "":
+	case c.response == "":
 		return &violation{text: fmt.Sprintf("load %x has no answer after %d attempts, rejected %d times", c.key[:4], c.attempts, c.rejected)}
-	case c.answer != "may have run" && (len(runs) != 1 || c.answer != "of "+runs[0]):
-		return &violation{safety: true, text: fmt.Sprintf("load %x: answer %q, ran by %v", c.key[:4], c.answer, runs)}
+	case c.response != "may have run" && (len(runs) != 1 || c.response != "of "+runs[0]):
+		return &violation{safety: true, text: fmt.Sprintf("load %x: answer %q, ran by %v", c.key[:4], c.response, runs)}
 	default:
 		return nil
 	}
@@ -106,7 +106,7 @@
 func TestNoLoadRunsTwice(t *testing.T) {
 	var grantMS []float64
 	for seed := uint64(1); seed <= 20; seed++ {
-		f, violations := playFaults(seed, []int{3, 5, 7, 16}[seed%4], 600, seed%2 == 0)
+		f, violations := simulateFaults(seed, []int{3, 5, 7, 16}[seed%4], 600, seed%2 == 0)
 		grantMS = append(grantMS, f.grantMS...)
 		if len(violations) > 0 {
 			t.Errorf("seed %d: %d rules broken, first: %s", seed, len(violations), violations[0].text)
@@ -121,7 +121,7 @@
 func TestSafetyOfThreeFrontEnds(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			_, violations := playFaults(seed, 3, 600, false)
+			_, violations := simulateFaults(seed, 3, 600, false)
 			for _, v := range violations {
 				if v.safety {
 					t.Error(v.text)
@@ -131,10 +131,10 @@
 	}
 }
 
-// playLostVote simulates a front end that has voted for a lease that no other
+// simulateLostVote simulates a front end that has voted for a lease that no other
 // remaining member knows of, and starts again without its state. It returns the
 // decisions before and after.
-func playLostVote(t *testing.T) (f *fleet, before, after Decision) {
+func simulateLostVote(t *testing.T) (f *fleet, before, after Decision) {
 	t.Helper()
 	f = newFleet(5, 3, false, Options{})
 	f.Run(10_000)
@@ -153,18 +153,18 @@
 // TestNoVoteWithoutState checks that a front end that lost its votes does not vote
 // again, or the load would be granted twice.
 func TestNoVoteWithoutState(t *testing.T) {
-	f, before, after := playLostVote(t)
+	f, before, after := simulateLostVote(t)
 	wasGranted := func(d Decision) bool { return d.Ticket != 0 && d.Kind == Granted }
 	if wasGranted(before) && wasGranted(after) && f.managers[1].CanVote() {
 		t.Errorf("the lease is granted twice: %+v, %+v", before, after)
 	}
 }
 
-// TestRejectedWithoutQuorumOfState checks the same history in detail: the first
+// TestNoGrantAfterLostVote checks the same history in detail: the first
 // request is granted, the second one is answered and not granted, and the front
 // end that lost its votes does not vote.
-func TestRejectedWithoutQuorumOfState(t *testing.T) {
-	f, before, after := playLostVote(t)
+func TestNoGrantAfterLostVote(t *testing.T) {
+	f, before, after := simulateLostVote(t)
 	if before.Ticket != 1 || before.Kind != Granted {
 		t.Fatalf("before: %+v", before)
 	}
@@ -176,20 +176,20 @@
 	}
 }
 
-// TestLateProposal checks that a recovered acceptor keeps the promises of its
+// TestDelayedProposal checks that a recovered acceptor keeps the promises of its
 // earlier process. It promises a round to one proposer and starts again without
 // its state; its new vote grants the lease to another; then the first proposer's
 // proposal, sent long ago, arrives. What was chosen must stand, or the first one
 // takes its proposal for an unnoticed lease of its own.
-func TestLateProposal(t *testing.T) {
+func TestDelayedProposal(t *testing.T) {
 	f := newFleet(8, 5, false, Options{})
 	f.Run(10_000)
 	request := AcquireRequest{Key: testKey(1), Fingerprint: 1}
-	var late [][]byte
+	var delayed [][]byte
 	f.managers[0].recordOf(testKey(1)).maxOwnBallot = 5 // its ballots are above those of others
 	f.intercept = func(from, to int, msg []byte) bool {
 		if m, _ := decode(msg); from == 0 && m.verb == verbAccept {
-			late = append(late, msg)
+			delayed = append(delayed, msg)
 			return true
 		}
 		return from == 0 && to > 2 // only 1 and 2 promise
@@ -199,8 +199,8 @@
 	f.kill(1)
 	f.start(1)
 	f.Run(10_000)
-	if !f.managers[1].CanVote() || len(late) == 0 {
-		t.Fatalf("1 votes: %v; %d proposals are late", f.managers[1].CanVote(), len(late))
+	if !f.managers[1].CanVote() || len(delayed) == 0 {
+		t.Fatalf("1 votes: %v; %d proposals are delayed", f.managers[1].CanVote(), len(delayed))
 	}
 	f.intercept = func(from, to int, _ []byte) bool { return from == 2 || to == 2 } // who promised too
 	if d := f.request(3, request, 2000, 2100); d.Ticket == 0 || d.Kind != Granted {
@@ -208,7 +208,7 @@
 	}
 	f.intercept = nil
 	for _, to := range []int{1, 2, 3, 4} {
-		f.apply(to, MessageReceived{Peer{Number: 0}, late[0]})
+		f.apply(to, MessageReceived{Peer{Number: 0}, delayed[0]})
 	}
 	f.setPartition(0, 0, 0, 0, 0)
 	f.Run(4000)
--- a/internal/lease/wire.go
+++ b/internal/lease/wire.go
@@ -36,7 +36,7 @@
 // message is the content of one datagram. In protobuf terms:
 //
 //	message Message {
-//	  uint32 verb = 1; uint32 nonce = 2; bool can_vote = 3; fixed64 author = 4; // the sender's
+//	  uint32 verb = 1; uint32 nonce = 2; bool can_vote = 3; fixed64 sender_id = 4;
 //	  bytes key = 5; Ballot ballot = 6, 7;
 //	  bool rejected = 8;        // a later round has begun: promised
 //	  Ballot promised = 9, 10; Ballot accepted = 11, 12; Value value = 13;
@@ -50,12 +50,12 @@
 //	  bytes key = 1; Ballot accepted = 2, 3; Value value = 4; uint32 age_seconds = 5; Ballot promised = 6, 7;
 //	}
 //
-// A Ballot takes two fields: uint32 number; fixed64 author.
+// A Ballot takes two fields: uint32 number; fixed64 proposer_id.
 type message struct {
 	verb     verb
 	nonce    uint32
 	canVote  bool
-	author   uint64
+	senderID uint64
 	key      Key
 	ballot   Ballot
 	rejected bool
@@ -99,22 +99,22 @@
 
 // The field numbers of a Message.
 const (
-	fieldVerb           protowire.Number = 1
-	fieldNonce          protowire.Number = 2
-	fieldCanVote        protowire.Number = 3
-	fieldAuthor         protowire.Number = 4
-	fieldKey            protowire.Number = 5
-	fieldBallot         protowire.Number = 6
-	fieldBallotAuthor   protowire.Number = 7
-	fieldRejected       protowire.Number = 8
-	fieldPromised       protowire.Number = 9
-	fieldPromisedAuthor protowire.Number = 10
-	fieldAccepted       protowire.Number = 11
-	fieldAcceptedAuthor protowire.Number = 12
-	fieldValue          protowire.Number = 13
-	fieldExchange       protowire.Number = 14
-	fieldDigest         protowire.Number = 20
-	fieldRecord         protowire.Number = 21
+	fieldVerb             protowire.Number = 1
+	fieldNonce            protowire.Number = 2
+	fieldCanVote          protowire.Number = 3
+	fieldSenderID         protowire.Number = 4
+	fieldKey              protowire.Number = 5
+	fieldBallot           protowire.Number = 6
+	fieldBallotProposer   protowire.Number = 7
+	fieldRejected         protowire.Number = 8
+	fieldPromised         protowire.Number = 9
+	fieldPromisedProposer protowire.Number = 10
+	fieldAccepted         protowire.Number = 11
+	fieldAcceptedProposer protowire.Number = 12
+	fieldValue            protowire.Number = 13
+	fieldExchange         protowire.Number = 14
+	fieldDigest           protowire.Number = 20
+	fieldRecord           protowire.Number = 21
 )
 
 // append writes all but the records.
@@ -122,7 +122,7 @@
 	b = pbuf.AppendUint(b, fieldVerb, uint64(m.verb))
 	b = pbuf.AppendUint(b, fieldNonce, uint64(m.nonce))
 	b = pbuf.AppendBool(b, fieldCanVote, m.canVote)
-	b = pbuf.AppendFixed64(b, fieldAuthor, m.author)
+	b = pbuf.AppendFixed64(b, fieldSenderID, m.senderID)
 	if m.verb.hasKey() {
 		b = pbuf.AppendBytes(b, fieldKey, m.key[:])
 	}
@@ -152,23 +152,23 @@
 		m.nonce, err = pbuf.Uint32(value)
 	case fieldCanVote:
 		m.canVote = value != 0
-	case fieldAuthor:
-		m.author = value
+	case fieldSenderID:
+		m.senderID = value
 	case fieldKey:
 		err = m.key.decode(body)
 	case fieldBallot:
 		err = m.ballot.decodeNumber(value)
-	case fieldBallotAuthor:
+	case fieldBallotProposer:
 		m.ballot.ProposerID = value
 	case fieldRejected:
 		m.rejected = value != 0
 	case fieldPromised:
 		err = m.promised.decodeNumber(value)
-	case fieldPromisedAuthor:
+	case fieldPromisedProposer:
 		m.promised.ProposerID = value
 	case fieldAccepted:
 		err = m.accepted.decodeNumber(value)
-	case fieldAcceptedAuthor:
+	case fieldAcceptedProposer:
 		m.accepted.ProposerID = value
 	case fieldValue:
 		m.value, err = decodeValue(body)
@@ -189,7 +189,7 @@
 	content := &m.exchange.Content
 	switch {
 	case m.verb < verbPrepare || m.verb > verbRecords,
-		m.author == 0,
+		m.senderID == 0,
 		m.verb.hasKey() && m.key == Key{},
 		m.verb.hasBallot() && m.ballot.Number == 0,
 		!content.Valid(),
@@ -269,13 +269,13 @@
 
 // The field numbers of a Record.
 const (
-	recordKey            protowire.Number = 1
-	recordAccepted       protowire.Number = 2
-	recordAcceptedAuthor protowire.Number = 3
-	recordValue          protowire.Number = 4
-	recordAgeSeconds     protowire.Number = 5
-	recordPromised       protowire.Number = 6
-	recordPromisedAuthor protowire.Number = 7
+	recordKey              protowire.Number = 1
+	recordAccepted         protowire.Number = 2
+	recordAcceptedProposer protowire.Number = 3
+	recordValue            protowire.Number = 4
+	recordAgeSeconds       protowire.Number = 5
+	recordPromised         protowire.Number = 6
+	recordPromisedProposer protowire.Number = 7
 )
 
 // append writes a record as a field of a message.
@@ -295,7 +295,7 @@
 			err = c.key.decode(body)
 		case recordAccepted:
 			err = c.accepted.decodeNumber(value)
-		case recordAcceptedAuthor:
+		case recordAcceptedProposer:
 			c.accepted.ProposerID = value
 		case recordValue:
 			c.value, err = decodeValue(body)
@@ -303,7 +303,7 @@
 			c.ageSeconds = uint32(min(value, maxAgeSeconds))
 		case recordPromised:
 			err = c.promised.decodeNumber(value)
-		case recordPromisedAuthor:
+		case recordPromisedProposer:
 			c.promised.ProposerID = value
 		default: // a field of a later version
 		}
--- a/internal/lease/wire_test.go
+++ b/internal/lease/wire_test.go
@@ -17,20 +17,20 @@
 func TestMalformedMessages(t *testing.T) {
 	value := Value{Generation: 3, State: Ended, Owner: 9, Fingerprint: 8, Outcome: []byte("x")}
 	promise := message{
-		verb: verbPromise, nonce: 4, canVote: true, author: 5, key: testKey(1), ballot: Ballot{3, 4},
+		verb: verbPromise, nonce: 4, canVote: true, senderID: 5, key: testKey(1), ballot: Ballot{3, 4},
 		rejected: true, promised: Ballot{5, 6}, accepted: Ballot{7, 8}, value: value,
 	}
 	encoded := promise.append(nil)
 	if got, err := decode(encoded); err != nil || fmt.Sprint(got) != fmt.Sprint(promise) {
 		t.Fatalf("%v: %+v, want %+v", err, got, promise)
 	}
-	header := &message{verb: verbRecords, author: 5}
+	header := &message{verb: verbRecords, senderID: 5}
 	record := &recordCopy{key: testKey(2), accepted: Ballot{1, 2}, value: value, ageSeconds: 9, promised: Ballot{3, 4}}
 	records := record.append(header.append(nil))
 	if got, err := decode(records); err != nil || len(got.records) != 1 || got.records[0].promised != (Ballot{3, 4}) {
 		t.Fatalf("%v: %+v", err, got)
 	}
-	proposal := (&message{verb: verbAccept, author: 5, key: testKey(3), ballot: Ballot{3, 4}, value: value}).append(nil)
+	proposal := (&message{verb: verbAccept, senderID: 5, key: testKey(3), ballot: Ballot{3, 4}, value: value}).append(nil)
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(1, 3, false, Options{})
 		f.Run(8000)
@@ -45,7 +45,7 @@
 // bits is a malformed message, not another nonce.
 func TestNonceBound(t *testing.T) {
 	const largest = 1<<32 - 1
-	probe := (&message{verb: verbProbe, author: 5}).append(nil)
+	probe := (&message{verb: verbProbe, senderID: 5}).append(nil)
 	if got, err := decode(pbuf.AppendUint(probe, fieldNonce, largest)); err != nil || got.nonce != largest {
 		t.Errorf("the largest nonce: %v, %+v", err, got)
 	}
@@ -89,7 +89,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			probe := message{verb: verbProbe, author: 5}
+			probe := message{verb: verbProbe, senderID: 5}
 			if _, err := decode(append(probe.append(nil), c.field...)); !errors.Is(err, c.want) {
 				t.Errorf("%x: %v, want %v", c.field, err, c.want)
 			}
@@ -102,16 +102,16 @@
 func TestRequiredFields(t *testing.T) {
 	ofRange := func(v verb, level, index int, sums []uint32) message {
 		content := antientropy.RangeContent{Range: antientropy.Range{Level: level, Index: index}, Sums: sums}
-		return message{verb: v, author: 5, exchange: antientropy.Exchange{Content: content}}
+		return message{verb: v, senderID: 5, exchange: antientropy.Exchange{Content: content}}
 	}
 	const lowest = antientropy.Levels
 	sums := make([]uint32, antientropy.Fanout)
 	for name, m := range map[string]message{
-		"no verb":                             {author: 5},
-		"unknown verb":                        {verb: verbRecords + 1, author: 5},
-		"no author":                           {verb: verbProbe},
-		"no key":                              {verb: verbAccept, author: 5, ballot: Ballot{3, 4}},
-		"no ballot":                           {verb: verbAccept, author: 5, key: testKey(1)},
+		"no verb":                             {senderID: 5},
+		"unknown verb":                        {verb: verbRecords + 1, senderID: 5},
+		"no sender ID":                        {verb: verbProbe},
+		"no key":                              {verb: verbAccept, senderID: 5, ballot: Ballot{3, 4}},
+		"no ballot":                           {verb: verbAccept, senderID: 5, key: testKey(1)},
 		"no such range":                       ofRange(verbRangeItems, 0, 1, nil),
 		"request of a range without children": ofRange(verbRangeRequest, lowest, 1, nil),
 		"no digests":                          ofRange(verbRangeSums, 1, 1, nil),
