--- a/internal/pbuf/compat_test.go
+++ b/internal/pbuf/compat_test.go
@@ -17,8 +17,8 @@
 	body   []byte
 }
 
-// TestCompatFields checks that front ends of the previous version, which run beside
-// new ones during an upgrade, read each type of field as it was written.
+// TestCompatFields checks that the encoding of each field type has not changed:
+// front ends of the previous version run beside new ones during an upgrade.
 func TestCompatFields(t *testing.T) {
 	cases := []goldentest.Case[compatFields]{
 		{Name: "nothing", Value: compatFields{}},
--- a/internal/pbuf/pbuf.go
+++ b/internal/pbuf/pbuf.go
@@ -1,10 +1,10 @@
-// Package pbuf encodes and decodes protobuf messages field by field, on
-// protobuf's own wire package. The messages between front ends have at most 256
-// bytes and are numerous, and their definitions stand as comments beside the code
-// that encodes them: there is no generated code.
+// Package pbuf encodes and decodes protobuf messages field by field, with
+// protobuf's package protowire. The messages between front ends have at most 256
+// bytes and are numerous. Their definitions are comments beside the code that
+// encodes them; there is no generated code.
 //
-// The Append functions leave out zero values, except AppendFixed64. Fields with
-// numbers that a reader does not know belong to a later version and are skipped.
+// The Append functions omit zero values, except AppendFixed64. Decoders skip fields
+// with unknown numbers: later versions may add fields.
 package pbuf
 
 import (
@@ -33,7 +33,7 @@
 	return AppendUint(b, field, 1)
 }
 
-// AppendFixed64 appends a number in 8 bytes, also for 0.
+// AppendFixed64 appends a number of 8 bytes, including 0.
 func AppendFixed64(b []byte, field protowire.Number, value uint64) []byte {
 	return protowire.AppendFixed64(protowire.AppendTag(b, field, protowire.Fixed64Type), value)
 }
@@ -46,13 +46,13 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, field, protowire.BytesType), value)
 }
 
-// Visitor is called with a field of a message: its number, and its value if it is a
-// varint or fixed64, or its body if it is a byte string. The body is a part of the
-// message's bytes.
+// Visitor is called for each field of a message, with the field's number and either
+// its value (varint or fixed64) or its body (byte string). The body is a slice of the
+// message, not a copy.
 type Visitor func(field protowire.Number, value uint64, body []byte) error
 
-// ForEachField calls visit with each field of a message. It returns ErrMalformed, or
-// the first error of visit.
+// ForEachField calls visit for each field of a message. It stops at the first error:
+// ErrMalformed if the message cannot be parsed, or the error that visit returned.
 func ForEachField(b []byte, visit Visitor) error {
 	for len(b) > 0 {
 		field, wireType, size := protowire.ConsumeTag(b)
@@ -69,7 +69,7 @@
 			value, size = protowire.ConsumeFixed64(b)
 		case protowire.BytesType:
 			body, size = protowire.ConsumeBytes(b)
-		default: // of a later version
+		default: // a type that only later versions use
 			size = protowire.ConsumeFieldValue(field, wireType, b)
 		}
 		if size < 0 {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// Decode calls visit with each field of a message, as ForEachField does, and then
-// validate. It returns the first error.
+// Decode calls visit for each field of a message, as ForEachField does, and then
+// calls validate. It returns the first error.
 func Decode(b []byte, visit Visitor, validate func() error) error {
 	if err := ForEachField(b, visit); err != nil {
 		return err
@@ -92,8 +92,8 @@
 	return validate()
 }
 
-// AtMost returns a decoded value as a number of another type, or ErrMalformed if it
-// is above a limit.
+// AtMost converts a decoded value to a smaller type. It returns ErrMalformed if the
+// value is above the limit.
 func AtMost[T ~uint8 | ~uint32](value uint64, limit T) (T, error) {
 	if value > uint64(limit) {
 		return 0, ErrMalformed
@@ -101,11 +101,12 @@
 	return T(value), nil
 }
 
-// Uint32 returns a decoded value as a uint32, or ErrMalformed if it is larger.
+// Uint32 converts a decoded value to a uint32. It returns ErrMalformed if the value
+// does not fit.
 func Uint32(value uint64) (uint32, error) { return AtMost[uint32](value, math.MaxUint32) }
 
-// DecodeList reads a list of elements that have a fixed size each. It returns
-// ErrMalformed if the last one is cut short.
+// DecodeList decodes a list of elements of elementBytes bytes each. It returns
+// ErrMalformed if the last element is incomplete.
 func DecodeList[T any](b []byte, elementBytes int, decode func(element []byte) T) (list []T, err error) {
 	if len(b)%elementBytes != 0 {
 		return nil, ErrMalformed
@@ -116,9 +117,9 @@
 	return list, nil
 }
 
-// maxUint8 stands for every value that does not fit into a uint8.
+// maxUint8 replaces each value that does not fit into a uint8.
 const maxUint8 = 255
 
-// ClampUint8 returns a decoded enumeration value as a uint8. Values that do not
-// fit become 255, which callers then reject with the other unknown values.
+// ClampUint8 converts a decoded enumeration value to a uint8. Values that do not fit
+// become 255, which callers reject like any other unknown value.
 func ClampUint8(value uint64) uint8 { return uint8(min(value, maxUint8)) }
--- a/internal/pbuf/pbuf_test.go
+++ b/internal/pbuf/pbuf_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// TestUint32 checks the bound of decoded 32-bit numbers.
+// TestUint32 checks the upper bound of decoded 32-bit numbers.
 func TestUint32(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -31,24 +31,24 @@
 	}
 }
 
-// TestAtMost checks the bound of decoded enumerations and other small numbers.
+// TestAtMost checks the upper bound of decoded enumerations and other small numbers.
 func TestAtMost(t *testing.T) {
 	type state uint8
 	const last state = 3
 	for value, want := range map[uint64]state{0: 0, 3: last} {
 		if got, err := AtMost(value, last); got != want || err != nil {
-			t.Errorf("%d: got %d, %v, want %d", value, got, err, want)
+			t.Errorf("AtMost(%d) = %d, %v, want %d", value, got, err, want)
 		}
 	}
 	for _, value := range []uint64{4, 256, 1<<64 - 1} {
 		if got, err := AtMost(value, last); got != 0 || !errors.Is(err, ErrMalformed) {
-			t.Errorf("%d: got %d, %v", value, got, err)
+			t.Errorf("AtMost(%d) = %d, %v, want 0, %v", value, got, err, ErrMalformed)
 		}
 	}
 }
 
-// TestDecode checks that the first error is returned, and that a message whose
-// fields are malformed is not validated.
+// TestDecode checks that Decode returns the first error and does not validate a
+// message with a malformed field.
 func TestDecode(t *testing.T) {
 	errVisit, errValidate := errors.New("visit"), errors.New("validate")
 	message := AppendUint(nil, 1, 2)
@@ -60,7 +60,7 @@
 		isValidated               bool
 	}{
 		{name: "valid", message: message, isValidated: true},
-		{name: "cut short", message: message[:1], want: ErrMalformed},
+		{name: "truncated", message: message[:1], want: ErrMalformed},
 		{name: "malformed field", message: message, visitError: errVisit, validateError: errValidate, want: errVisit},
 		{name: "malformed message", message: message, validateError: errValidate, want: errValidate, isValidated: true},
 		{name: "no fields", visitError: errVisit, validateError: errValidate, want: errValidate, isValidated: true},
@@ -74,14 +74,14 @@
 				return c.validateError
 			}
 			if err := Decode(c.message, visit, validate); !errors.Is(err, c.want) || isValidated != c.isValidated {
-				t.Errorf("%v, validated: %v", err, isValidated)
+				t.Errorf("error %v, validated %v, want %v, %v", err, isValidated, c.want, c.isValidated)
 			}
 		})
 	}
 }
 
-// TestDecodeList checks that a list is read in its order, and that one whose last
-// element is cut short is malformed.
+// TestDecodeList checks that elements are decoded in order, and that a list whose
+// last element is incomplete is malformed.
 func TestDecodeList(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -91,7 +91,7 @@
 	}{
 		{name: "none"},
 		{name: "two", bytes: []byte{1, 2, 3, 4}, want: []uint16{0x0102, 0x0304}},
-		{name: "cut short", bytes: []byte{1, 2, 3}, err: ErrMalformed},
+		{name: "truncated", bytes: []byte{1, 2, 3}, err: ErrMalformed},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -103,11 +103,12 @@
 	}
 }
 
-// TestClampUint8 checks that values that do not fit stay distinct from small ones.
+// TestClampUint8 checks that a value that does not fit becomes 255, not its lowest 8
+// bits, which could be a valid small value.
 func TestClampUint8(t *testing.T) {
 	for value, want := range map[uint64]uint8{0: 0, 254: 254, 255: 255, 256: 255, 1<<64 - 1: 255} {
 		if got := ClampUint8(value); got != want {
-			t.Errorf("%d became %d, want %d", value, got, want)
+			t.Errorf("ClampUint8(%d) = %d, want %d", value, got, want)
 		}
 	}
 }
