--- a/internal/antientropy/budget.go
+++ b/internal/antientropy/budget.go
@@ -1,6 +1,6 @@
 package antientropy
 
-// burstSeconds is how many seconds' worth of bytes a SendBudget can save up.
+// burstSeconds is the capacity of a SendBudget, in seconds of its average rate.
 const burstSeconds = 4
 
 // SendBudget is a token bucket that bounds the average rate of sent bytes.
@@ -15,21 +15,21 @@
 	return SendBudget{bytesPerSecond: bytesPerSecond, availableBytes: burstSeconds * bytesPerSecond}
 }
 
-// Refill adds what has accrued since the last call. Time must not go back.
+// Refill adds the bytes accrued since the last call. Time must not go backwards.
 func (b *SendBudget) Refill(nowMS float64) {
 	accrued := (nowMS - b.refilledAtMS) * b.bytesPerSecond / 1000
 	b.availableBytes = min(burstSeconds*b.bytesPerSecond, b.availableBytes+accrued)
 	b.refilledAtMS = nowMS
 }
 
-// AvailableBytes returns how many bytes may be sent now.
+// AvailableBytes returns the number of bytes that may be sent now.
 func (b *SendBudget) AvailableBytes() float64 { return b.availableBytes }
 
 // Allows reports whether a message of the given size may be sent now.
 func (b *SendBudget) Allows(bytes int) bool { return b.availableBytes >= float64(bytes) }
 
-// Spend takes a sent message from the budget. Messages that must not wait are
-// sent whatever is left: the budget never falls below zero.
+// Spend deducts a sent message from the budget. Messages that must not wait are sent
+// even if the budget does not allow them; the budget never falls below zero.
 func (b *SendBudget) Spend(bytes int) {
 	b.availableBytes = max(0, b.availableBytes-float64(bytes))
 }
--- a/internal/antientropy/compare.go
+++ b/internal/antientropy/compare.go
@@ -3,24 +3,24 @@
 import "math/rand/v2"
 
 const (
-	// maxListedEntries is up to how many entries a range is listed, rather than
-	// divided further.
+	// maxListedEntries bounds the entries of a range that is listed. Ranges with more
+	// entries are divided further.
 	maxListedEntries = 10
-	// maxItems bounds the items of a message. A range of the lowest level may have
-	// more entries.
+	// maxItems bounds the items in a message. A range of the lowest level, which
+	// cannot be divided, may have more entries.
 	maxItems = 18
-	// maxRequested bounds the entries that are requested with one message.
+	// maxRequested bounds the entries that one message requests.
 	maxRequested = 26
 )
 
-// Range names a range of hashes by its level below the whole set, which is
-// Range{}, and its index within the level.
+// Range identifies a range of hashes by its level and its index within that level.
+// Range{} is the whole set.
 type Range struct {
 	Level int
 	Index int
 }
 
-// Valid reports whether there is such a range.
+// Valid reports whether the level and the index are within their bounds.
 func (r Range) Valid() bool {
 	if r.Level < 0 || r.Level > Levels || r.Index < 0 {
 		return false
@@ -32,10 +32,10 @@
 	return r.Index < size
 }
 
-// HasChildren reports whether a valid range is divided into smaller ones.
+// HasChildren reports whether a valid range is divided into smaller ranges.
 func (r Range) HasChildren() bool { return r.Level < Levels }
 
-// child returns one of the Fanout ranges into which a range is divided.
+// child returns the i-th of the Fanout ranges into which a range is divided.
 func (r Range) child(i int) Range { return Range{Level: r.Level + 1, Index: r.Index*Fanout + i} }
 
 // Item is the hash of an entry's key and the digest of its content.
@@ -44,21 +44,21 @@
 	Sum  uint32
 }
 
-// RangeContent describes what a copy holds in a range: by the digests of the
-// range's children, or by the range's entries.
+// RangeContent describes the entries that a copy has in a range, either by the
+// digests of the range's children or by a list of the entries.
 type RangeContent struct {
 	Range
-	Sums    []uint32 // nil: Items are given instead
+	Sums    []uint32 // digests of the children; nil: Items lists the entries
 	Items   []Item
-	Partial bool // Items are not all entries of the range
+	Partial bool // Items omits some entries of the range
 }
 
-// HasSums reports whether a valid content gives the digests of a range's children.
+// HasSums reports whether a valid content has the digests of a range's children.
 func (c *RangeContent) HasSums() bool { return c.Sums != nil && c.HasChildren() }
 
 // entries returns the entries in a range.
 func (t *Tree[E]) entries(r Range) (list []E) {
-	width := 1 // in leaves
+	width := 1 // number of leaves in the range
 	for range Levels - r.Level {
 		width *= Fanout
 	}
@@ -68,8 +68,8 @@
 	return list
 }
 
-// Sums returns the digests of a range's children. The range must be valid and not
-// of the lowest level.
+// Sums returns the digests of a range's children. The range must be valid and have
+// children.
 func (t *Tree[E]) Sums(r Range) []uint32 {
 	sums := make([]uint32, 0, Fanout)
 	for _, sum := range t.sums[r.Level+1][r.Index*Fanout : (r.Index+1)*Fanout] {
@@ -78,12 +78,14 @@
 	return sums
 }
 
-// Summary describes a range by the digests of its children, which it must have.
+// Summary describes a range by the digests of its children. The range must be valid
+// and have children.
 func (t *Tree[E]) Summary(r Range) RangeContent { return RangeContent{Range: r, Sums: t.Sums(r)} }
 
-// Descend calls visit with what this copy holds in those children of a range whose
-// digests in another copy differ, until hasBudget reports false. It starts at a
-// random child, so that a small budget does not always go to the same ones.
+// Descend compares the digests of a range's children with those of a remote copy. It
+// calls visit with the local content of each child that differs, until hasBudget
+// reports false. It starts at a random child, so that a small budget is not always
+// spent on the same children.
 func (t *Tree[E]) Descend(r Range, remote []uint32, rng *rand.Rand, hasBudget func() bool, visit func(RangeContent)) {
 	local := t.Sums(r)
 	first := rng.IntN(Fanout)
@@ -99,8 +101,9 @@
 	}
 }
 
-// content describes a range: a large one by the digests of its children, a small
-// one by its entries, or a random part of them.
+// content describes a range. A range with more than maxListedEntries entries is
+// described by the digests of its children, if it has any. Every other range is
+// described by its entries, or by a random sample of maxItems of them.
 func (t *Tree[E]) content(r Range, rng *rand.Rand) RangeContent {
 	if r.HasChildren() && t.counts[r.Level][r.Index] > maxListedEntries {
 		return t.Summary(r)
@@ -121,11 +124,11 @@
 	return content
 }
 
-// Compare compares a range with the entries that another copy lists. It returns
-// the entries of this copy that the other one lacks or has with another content,
-// and the hashes of the entries for which that is so the other way round.
+// Compare compares a range with the entries that a remote copy lists. It returns the
+// local entries that the remote copy lacks or has with different content, and the
+// hashes of remote entries that the local copy lacks or has with different content.
 func (t *Tree[E]) Compare(remote RangeContent) (toSend []E, toRequest []uint64) {
-	unmatched := map[uint64]uint32{} // sums by hash
+	unmatched := map[uint64]uint32{} // remote digests by hash
 	for _, item := range remote.Items {
 		unmatched[item.Hash] = item.Sum
 	}
--- a/internal/antientropy/compat_test.go
+++ b/internal/antientropy/compat_test.go
@@ -8,8 +8,8 @@
 	"dewhill/internal/goldentest"
 )
 
-// TestCompatRangeContents checks that front ends of the previous version read the
-// description of a range.
+// TestCompatRangeContents checks that the encoding of a range's content has not
+// changed, as front ends of the previous version decode it.
 func TestCompatRangeContents(t *testing.T) {
 	cases := []goldentest.Case[RangeContent]{
 		{Name: "sums", Value: RangeContent{Sums: []uint32{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 0xfffffffe, 0xffffffff}}},
@@ -29,15 +29,16 @@
 	goldentest.Check(t, "parts.txt", cases, encode, decode)
 }
 
-// TestCompatHashes checks the same of the hashes of wanted entries.
+// TestCompatHashes checks that the encoding of requested hashes has not changed, as
+// front ends of the previous version decode it.
 func TestCompatHashes(t *testing.T) {
 	cases := []goldentest.Case[[]uint64]{{Name: "hashes", Value: []uint64{0x0102030405060708, 0, 1<<64 - 1}}}
 	encode := func(list []uint64) []byte { return AppendHashes(nil, list) }
 	goldentest.Check(t, "hashes.txt", cases, encode, DecodeHashes)
 }
 
-// TestCompatDigests checks that copies of one set have the same digests in every
-// version, of the whole and of its ranges, and descend into the same ranges.
+// TestCompatDigests checks that all versions compute the same digests for the whole of
+// a set and for its ranges, and descend into the same ranges.
 func TestCompatDigests(t *testing.T) {
 	golden := goldentest.Read(t, "digests.txt")
 	check := func(name string, got []byte) {
@@ -63,7 +64,7 @@
 	visit := func(content RangeContent) { contents = append(contents, content) }
 	tree.Descend(differing, remote, rand.New(rand.NewPCG(1, 2)), unlimited, visit)
 	if len(contents) != 1 || contents[0].Range != (Range{Level: 2, Index: 243}) || contents[0].Partial {
-		t.Fatalf("%+v", contents)
+		t.Fatalf("content of the ranges that differ: %+v, want all items of range 243 of level 2", contents)
 	}
 	check("items-of-2-243", AppendItems(nil, contents[0].Items))
 }
--- a/internal/antientropy/tree_test.go
+++ b/internal/antientropy/tree_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// testEntry is an entry of a set with its number as key and content.
+// testEntry is an entry whose key and content are one number.
 type testEntry uint64
 
 func (e testEntry) Hash() uint64 { return Mix(uint64(e)) }
 func (e testEntry) Sum() uint64  { return Mix(uint64(e) + 1<<32) }
 
-// TestComparisonFindsDifferences checks that the steps of a comparison end with
-// all entries that only one of two copies has, and with no others.
+// TestComparisonFindsDifferences checks that the steps of a comparison find all entries
+// that only one of two copies has, and no other entries.
 func TestComparisonFindsDifferences(t *testing.T) {
 	const (
 		common    = 600
@@ -55,18 +55,19 @@
 	}
 }
 
-// checkFound checks off an entry that a comparison found in only one copy.
+// checkFound checks that an entry found by a comparison is in only one of the copies,
+// and removes it from the entries that the comparison must still find.
 func checkFound(t *testing.T, isLocal bool, onlyLocal map[testEntry]bool, onlyRemote map[uint64]bool, hash uint64, e testEntry) {
 	t.Helper()
 	if isLocal != onlyLocal[e] || !isLocal != onlyRemote[hash] {
-		t.Errorf("entry %d is found only in the local copy: %v", e, isLocal)
+		t.Errorf("entry %d found (only in the local copy: %v), which is in both copies or found before", e, isLocal)
 	}
 	delete(onlyLocal, e)
 	delete(onlyRemote, hash)
 }
 
-// TestRemove checks that a removed entry leaves the tree as if it had never been
-// there, and that removing an absent one changes nothing.
+// TestRemove checks that the tree is the same after an entry was inserted and removed,
+// and that removing an absent entry changes nothing.
 func TestRemove(t *testing.T) {
 	tree := New[testEntry]()
 	tree.Insert(1)
@@ -75,11 +76,11 @@
 	tree.Remove(2)
 	tree.Remove(3)
 	if tree.Digest() != digest || len(tree.Find(testEntry(2).Hash())) != 0 || len(tree.Find(testEntry(1).Hash())) != 1 {
-		t.Errorf("digest %x, want %x", tree.Digest(), digest)
+		t.Errorf("after removal: digest %x, want %x, and only entry 1 found", tree.Digest(), digest)
 	}
 }
 
-// TestRangeValid checks the bounds of levels and indexes.
+// TestRangeValid checks the bounds of a range's level and index.
 func TestRangeValid(t *testing.T) {
 	cases := []struct {
 		name string
@@ -97,7 +98,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.r.Valid(); got != c.want {
-				t.Errorf("%+v: %v", c.r, got)
+				t.Errorf("%+v.Valid() = %v, want %v", c.r, got, c.want)
 			}
 		})
 	}
--- a/internal/antientropy/wire.go
+++ b/internal/antientropy/wire.go
@@ -9,20 +9,20 @@
 )
 
 // Exchange holds the fields of a peer message that belong to a comparison of two
-// copies. In protobuf terms, with consecutive field numbers from a first one that
-// each protocol chooses:
+// copies. In protobuf terms, with consecutive field numbers that start at a number
+// chosen by each protocol:
 //
 //	uint32 level = first; uint32 index = first+1; // a range
-//	bytes sums = first+2;    // Fanout digests of 4 bytes
-//	bytes items = first+3;   // (hash 8 bytes, digest 4 bytes)...
-//	bool partial = first+4;  // items are not all that is in the range
-//	bytes wanted = first+5;  // hashes of 8 bytes
+//	bytes sums = first+2;      // Fanout digests of 4 bytes
+//	bytes items = first+3;     // (hash 8 bytes, digest 4 bytes)...
+//	bool partial = first+4;    // items omits some entries of the range
+//	bytes requested = first+5; // hashes of 8 bytes
 type Exchange struct {
 	Content   RangeContent
-	Requested []uint64 // hashes of entries that the sender lacks
+	Requested []uint64 // hashes of entries that the sender requests
 }
 
-// The fields of an Exchange, counted from its first field number.
+// The offsets of an Exchange's fields from its first field number.
 const (
 	levelField protowire.Number = iota
 	indexField
@@ -38,10 +38,11 @@
 	itemBytes = hashBytes + sumBytes
 )
 
-// maxDecodedRangeNumber is larger than any valid level or index.
+// maxDecodedRangeNumber is larger than any valid level or index. Larger numbers are
+// reduced to it, so that they stay invalid.
 const maxDecodedRangeNumber = 1 << 16
 
-// Append writes the fields, the first of which has the given number.
+// Append appends the fields. The first field has the given number.
 func (x *Exchange) Append(b []byte, first protowire.Number) []byte {
 	b = pbuf.AppendUint(b, first+levelField, uint64(x.Content.Level))
 	b = pbuf.AppendUint(b, first+indexField, uint64(x.Content.Index))
@@ -51,9 +52,10 @@
 	return pbuf.AppendBytes(b, first+requestedField, AppendHashes(nil, x.Requested))
 }
 
-// DecodeField reads one field, given the number of the first one. Fields that are
-// not of an Exchange are skipped, as those of a later version. Its error is
-// pbuf.ErrMalformed. Once all fields are read, the caller checks Content.Valid.
+// DecodeField decodes one field of a message whose first Exchange field has the number
+// first. It skips fields that do not belong to an Exchange, as fields of later
+// versions are skipped. Its error is pbuf.ErrMalformed. After the last field, the
+// caller must check Content.Valid.
 func (x *Exchange) DecodeField(first, field protowire.Number, value uint64, body []byte) (err error) {
 	switch field - first {
 	case levelField:
@@ -68,12 +70,12 @@
 		x.Content.Partial = value != 0
 	case requestedField:
 		x.Requested, err = DecodeHashes(body)
-	default: // not of an Exchange
+	default: // not a field of an Exchange
 	}
 	return err
 }
 
-// AppendSums writes the digests of a range's children.
+// AppendSums appends the digests of a range's children.
 func AppendSums(b []byte, sums []uint32) []byte {
 	for _, sum := range sums {
 		b = binary.BigEndian.AppendUint32(b, sum)
@@ -81,7 +83,7 @@
 	return b
 }
 
-// AppendItems writes hashes of keys with their digests.
+// AppendItems appends hashes of keys with the digests of their entries.
 func AppendItems(b []byte, items []Item) []byte {
 	for _, item := range items {
 		b = binary.BigEndian.AppendUint64(b, item.Hash)
@@ -90,7 +92,7 @@
 	return b
 }
 
-// AppendHashes writes hashes of keys.
+// AppendHashes appends hashes of keys.
 func AppendHashes(b []byte, hashes []uint64) []byte {
 	for _, hash := range hashes {
 		b = binary.BigEndian.AppendUint64(b, hash)
@@ -98,7 +100,7 @@
 	return b
 }
 
-// DecodeSums reads what AppendSums wrote of one range. It returns
+// DecodeSums decodes the digests that AppendSums encoded for one range. It returns
 // pbuf.ErrMalformed unless there are exactly Fanout digests.
 func DecodeSums(b []byte) ([]uint32, error) {
 	if len(b) != Fanout*sumBytes {
@@ -107,22 +109,22 @@
 	return pbuf.DecodeList(b, sumBytes, binary.BigEndian.Uint32)
 }
 
-// DecodeItems reads what AppendItems wrote. It returns pbuf.ErrMalformed if the
-// last item is cut short.
+// DecodeItems decodes the items that AppendItems encoded. It returns
+// pbuf.ErrMalformed if the last item is incomplete.
 func DecodeItems(b []byte) ([]Item, error) { return pbuf.DecodeList(b, itemBytes, decodeItem) }
 
 func decodeItem(b []byte) Item {
 	return Item{Hash: binary.BigEndian.Uint64(b), Sum: binary.BigEndian.Uint32(b[hashBytes:])}
 }
 
-// DecodeHashes reads what AppendHashes wrote. It returns pbuf.ErrMalformed if the
-// last hash is cut short.
+// DecodeHashes decodes the hashes that AppendHashes encoded. It returns
+// pbuf.ErrMalformed if the last hash is incomplete.
 func DecodeHashes(b []byte) ([]uint64, error) {
 	return pbuf.DecodeList(b, hashBytes, binary.BigEndian.Uint64)
 }
 
-// Pack joins encoded entries, in their order, into as few bodies of at most a number
-// of bytes as that allows. An entry that is larger has a body of its own.
+// Pack joins encoded entries, in order, into as few bodies of at most maxBytes as
+// possible. An entry larger than maxBytes has a body of its own.
 func Pack(entries [][]byte, maxBytes int) (bodies [][]byte) {
 	var body []byte
 	for _, entry := range entries {
--- a/internal/antientropy/wire_test.go
+++ b/internal/antientropy/wire_test.go
@@ -11,8 +11,8 @@
 	"dewhill/internal/pbuf"
 )
 
-// TestExchangeFields checks that an exchange reads its fields from the first one on
-// and skips all others.
+// TestExchangeFields checks that an exchange decodes its own fields and skips the fields
+// with lower and higher numbers.
 func TestExchangeFields(t *testing.T) {
 	const first = 5
 	items := []Item{{Hash: 1, Sum: 2}}
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestHasSums checks which contents give the digests of a range's children.
+// TestHasSums checks which contents have the digests of a range's children.
 func TestHasSums(t *testing.T) {
 	sums := make([]uint32, Fanout)
 	cases := []struct {
@@ -45,21 +45,21 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.content.HasSums(); got != c.want {
-				t.Errorf("%+v: %v", c.content, got)
+				t.Errorf("%+v.HasSums() = %v, want %v", c.content, got, c.want)
 			}
 		})
 	}
 }
 
-// TestPack checks that all entries are packed in their order, none is divided, and
-// no two bodies could have been one.
+// TestPack checks that all entries are packed in order, that no entry is divided, and
+// that no two successive bodies could have been joined.
 func TestPack(t *testing.T) {
 	const maxBytes = 20
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 1, 25)).Draw(t, "entries")
 		bodies := Pack(entries, maxBytes)
 		if !bytes.Equal(bytes.Join(bodies, nil), bytes.Join(entries, nil)) {
-			t.Fatalf("%x from %x", bodies, entries)
+			t.Fatalf("packed %x from entries %x", bodies, entries)
 		}
 		next := 0
 		for _, body := range bodies {
@@ -70,10 +70,11 @@
 			}
 			isOneEntry := size == len(entries[next-1])
 			if size != len(body) || size > maxBytes && !isOneEntry {
-				t.Fatalf("a body of %d bytes: %x of %x", len(body), body, entries)
+				t.Fatalf("body of %d bytes: %x of %x, want whole entries and at most %d bytes",
+					len(body), body, entries, maxBytes)
 			}
 			if next < len(entries) && size+len(entries[next]) <= maxBytes {
-				t.Fatalf("an entry of %d bytes is not added to %d", len(entries[next]), size)
+				t.Fatalf("an entry of %d bytes is not added to a body of %d bytes", len(entries[next]), size)
 			}
 		}
 	})
