--- a/internal/lease/acceptor.go
+++ b/internal/lease/acceptor.go
@@ -11,9 +11,9 @@
 
 // The states. Their numbers are part of the wire form.
 const (
-	Free       State = iota // nobody has the lease
+	Free       State = iota // no process has the lease
 	Held                    // one process has the lease
-	MayHaveRun              // the load may have run, and will not be run again
+	MayHaveRun              // the load may have run and will not be run again
 	Ended                   // the load has run, with an outcome
 )
 
@@ -35,14 +35,15 @@
 
 // Value is the value of a register.
 type Value struct {
-	Generation  uint32 // how often the lease was released unused
+	Generation  uint32 // number of times that the lease was released unused
 	State       State
 	Owner       uint64 // Options.ProcessID of the process that has or had the lease
-	Fingerprint uint64 // hash of what the load runs
-	Outcome     []byte // of a load that has Ended
+	Fingerprint uint64 // hash of the load's content
+	Outcome     []byte // outcome of the load in state Ended
 }
 
-// Ballot orders rounds. The zero Ballot is below that of any round.
+// Ballot identifies a round and orders the rounds of a register. The zero Ballot is
+// lower than that of any round.
 type Ballot struct {
 	Number     uint32
 	ProposerID uint64
@@ -53,11 +54,11 @@
 	return b.Number > o.Number || b.Number == o.Number && b.ProposerID > o.ProposerID
 }
 
-// digest returns the ballot's part in the digest of a record.
+// digest returns the ballot's contribution to the digest of a record.
 func (b Ballot) digest() uint64 { return antientropy.Mix(b.ProposerID + uint64(b.Number)<<32) }
 
-// record is this front end's copy of one register, as an acceptor, with what this
-// process knows of its own leases.
+// record is this front end's copy of one register as an acceptor, with the state of
+// this process's own lease on it.
 type record struct {
 	key         Key
 	promised    Ballot
@@ -65,17 +66,18 @@
 	value       Value
 	createdAtMS float64
 
-	maxOwnBallot      uint32 // highest ballot number of this process's own rounds
-	running           bool   // this process has the lease and has not reported a result
-	grantedGeneration uint32 // generation + 1 of the last lease granted here that may have run
-	announceAtMS      float64
-	acknowledged      map[Peer]bool // who has the outcome; nil: it is not announced
+	maxOwnBallot      uint32        // highest ballot number of this process's own rounds
+	running           bool          // this process has the lease and has not reported a result
+	grantedGeneration uint32        // generation + 1 of the last lease granted here that may have run, or 0
+	announceAtMS      float64       // when the outcome is sent next; 0: it is not announced
+	acknowledged      map[Peer]bool // members that have the outcome; nil: it is not announced
 }
 
 // Hash returns the hash of the record's key.
 func (r *record) Hash() uint64 { return binary.BigEndian.Uint64(r.key[:]) }
 
-// Sum returns the record's part in digests; 0: the record says nothing.
+// Sum returns the record's contribution to digests. It is 0 for a record that has no
+// outcome, no accepted value and no promise.
 func (r *record) Sum() uint64 {
 	switch {
 	case r.value.State == Ended:
@@ -83,7 +85,7 @@
 	case r.accepted.Number == 0 && r.promised.Number == 0:
 		return 0
 	default:
-		// Promises are included: a member that lost its state copies those too.
+		// Promises are included because a member that lost its state copies them too.
 		return antientropy.Mix(r.Hash() ^ r.accepted.digest() ^ antientropy.Mix(r.promised.digest()))
 	}
 }
@@ -97,10 +99,10 @@
 	return digest
 }
 
-// learn adopts a value that another member has accepted, or an outcome, and
-// reports whether the record changed. Learning is not voting: a value with a lower
-// ballot than one promised here is harmless, as rounds use the value with the
-// highest ballot.
+// learn adopts a value that a member has accepted, or an outcome, and reports whether
+// the record changed. Learning a value is not a vote. A value with a lower ballot than
+// the one promised here is harmless, because rounds use the value with the highest
+// ballot.
 func (m *Manager) learn(r *record, ballot Ballot, value Value) (changed bool) {
 	if r.value.State == Ended {
 		return false
@@ -118,8 +120,8 @@
 	return true
 }
 
-// promise records that rounds below a ballot no longer count, and reports whether
-// the record changed. Raising a promise, for whatever reason, is always safe.
+// promise records that rounds with a lower ballot no longer count, and reports whether
+// the record changed. It is always safe to raise a promise.
 func (m *Manager) promise(r *record, ballot Ballot) (changed bool) {
 	if !ballot.above(r.promised) {
 		return false
@@ -130,8 +132,8 @@
 	return true
 }
 
-// vote answers a prepare or accept message once the vote is persisted. A member
-// that lost its state does not vote: it could break its earlier promises.
+// vote replies to a prepare or accept message once the vote is persisted. A member
+// that lost its state does not vote, as it could break its earlier promises.
 func (m *Manager) vote(from Peer, msg *message) {
 	if !m.CanVote() {
 		return
--- a/internal/lease/antientropy.go
+++ b/internal/lease/antientropy.go
@@ -6,8 +6,8 @@
 	"dewhill/internal/antientropy"
 )
 
-// startComparison starts a comparison with a random live member, or with all while
-// this member catches up.
+// startComparison starts a comparison with a random live member, or with all members
+// while this member catches up.
 func (m *Manager) startComparison() {
 	m.nextCompareMS = m.nowMS + m.options.Times.CompareIntervalMS*(0.9+0.2*m.rng.Float64())
 	if !m.CanVote() {
@@ -21,7 +21,8 @@
 	}
 }
 
-// receiveProbe answers a member that compares its digest with this copy.
+// receiveProbe compares a member's digest with that of this copy. It replies that they
+// match, or with the digests of the top ranges.
 func (m *Manager) receiveProbe(from Peer, msg *message) {
 	if msg.digest == m.Digest() {
 		m.send(from, &message{verb: verbMatch, digest: msg.digest, nonce: msg.nonce})
@@ -30,12 +31,13 @@
 	m.sendContent(from, m.records.tree.Summary(antientropy.Range{}), msg.nonce)
 }
 
-// receiveRangeRequest sends the digests that a member that catches up has requested.
+// receiveRangeRequest sends the digests that a member has requested to catch up.
 func (m *Manager) receiveRangeRequest(from Peer, msg *message) {
 	m.sendContent(from, m.records.tree.Summary(msg.exchange.Content.Range), msg.nonce)
 }
 
-// sendContent sends what is held in a range, with the nonce of a request for it.
+// sendContent sends the content of a range. The nonce is that of the message that
+// requested it, or 0.
 func (m *Manager) sendContent(to Peer, content antientropy.RangeContent, nonce uint32) {
 	kind := verbRangeItems
 	if content.HasSums() {
@@ -44,14 +46,14 @@
 	m.send(to, &message{verb: kind, nonce: nonce, exchange: antientropy.Exchange{Content: content}})
 }
 
-// receiveMatch notes that a member's copy is equal to this one.
+// receiveMatch records that a member's copy is equal to this one.
 func (m *Manager) receiveMatch(from Peer, msg *message) {
 	if msg.nonce == m.recovery.nonce && msg.digest == m.Digest() {
 		m.markEqual(from, 0, recoveryRanges, msg.canVote)
 	}
 }
 
-// receiveRangeSums goes on with the ranges in which a member's copy differs.
+// receiveRangeSums continues the comparison in the ranges that differ.
 func (m *Manager) receiveRangeSums(from Peer, msg *message) {
 	m.recoverRanges(from, msg)
 	hasBudget := func() bool { return m.budget.Allows(m.options.MaxMessageBytes) }
@@ -61,8 +63,8 @@
 	})
 }
 
-// receiveRangeItems sends the records that a member lacks, and requests those
-// that are lacking here.
+// receiveRangeItems sends the records that the other member lacks, and requests the
+// records that this member lacks.
 func (m *Manager) receiveRangeItems(from Peer, msg *message) {
 	toSend, toRequest := m.records.tree.Compare(msg.exchange.Content)
 	m.sendRecords(from, toSend)
@@ -76,8 +78,8 @@
 	m.sendRecords(from, m.records.tree.FindAll(msg.exchange.Requested))
 }
 
-// receiveRecords learns records from another copy, except those that are about to
-// be evicted.
+// receiveRecords learns records from another copy, except records that have reached
+// Times.RetentionMS and would be evicted at once.
 func (m *Manager) receiveRecords(copies []recordCopy) {
 	for i := range copies {
 		c := &copies[i]
@@ -98,11 +100,11 @@
 	}
 }
 
-// maxRecordsHeaderBytes bounds a verbRecords message without its records.
+// maxRecordsHeaderBytes bounds the size of a verbRecords message without its records.
 const maxRecordsHeaderBytes = 16
 
-// sendRecords sends records as far as the budget goes. What is left out still
-// differs, and the next comparison finds it again.
+// sendRecords sends as many records as the budget allows. The copies still differ in
+// the other records, so a later comparison finds them again.
 func (m *Manager) sendRecords(to Peer, list []*record) {
 	var encoded [][]byte
 	for _, r := range list {
--- a/internal/lease/compat_test.go
+++ b/internal/lease/compat_test.go
@@ -18,11 +18,11 @@
 	compatEnded    = Value{Generation: 3, State: Ended, Owner: 5, Fingerprint: 6, Outcome: []byte("200 done")}
 )
 
-// TestCompatMessages checks that front ends of the previous version read each
-// message about leases, field by field.
+// TestCompatMessages checks that the encoding of each message has not changed in any
+// field, as front ends of the previous version decode it.
 func TestCompatMessages(t *testing.T) {
-	const processID = 0x0102030405060708
-	ballot, laterBallot := Ballot{7, processID}, Ballot{1 << 30, 9}
+	const sender = 0x0102030405060708
+	ballot, laterBallot := Ballot{7, sender}, Ballot{1 << 30, 9}
 	rangeSums := []uint32{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 0xfffffffe, 0xffffffff}
 	rangeItems := []antientropy.Item{{Hash: 0x0102030405060708, Sum: 9}, {Hash: 1, Sum: 0xffffffff}}
 	records := []recordCopy{
@@ -32,52 +32,52 @@
 	}
 	cases := []goldentest.Case[message]{
 		{Name: "prepare", Value: message{
-			verb: verbPrepare, canVote: true, senderID: processID, key: compatKey, ballot: ballot,
+			verb: verbPrepare, canVote: true, senderID: sender, key: compatKey, ballot: ballot,
 		}},
 		{Name: "promise", Value: message{
-			verb: verbPromise, canVote: true, senderID: processID, key: compatKey, ballot: ballot, accepted: laterBallot, value: compatLease,
+			verb: verbPromise, canVote: true, senderID: sender, key: compatKey, ballot: ballot, accepted: laterBallot, value: compatLease,
 		}},
 		{Name: "promise-no", Value: message{
-			verb: verbPromise, canVote: true, senderID: processID, key: compatKey, ballot: ballot, rejected: true, promised: laterBallot,
+			verb: verbPromise, canVote: true, senderID: sender, key: compatKey, ballot: ballot, rejected: true, promised: laterBallot,
 		}},
 		{Name: "accept", Value: message{
-			verb: verbAccept, senderID: processID, key: compatKey, ballot: ballot, value: compatLease,
+			verb: verbAccept, senderID: sender, key: compatKey, ballot: ballot, value: compatLease,
 		}},
 		{Name: "accept-free", Value: message{
-			verb: verbAccept, senderID: processID, key: compatKey, ballot: ballot, value: Value{Generation: 4},
+			verb: verbAccept, senderID: sender, key: compatKey, ballot: ballot, value: Value{Generation: 4},
 		}},
 		{Name: "accepted", Value: message{
-			verb: verbAccepted, canVote: true, senderID: processID, key: compatKey, ballot: ballot,
+			verb: verbAccepted, canVote: true, senderID: sender, key: compatKey, ballot: ballot,
 		}},
 		{Name: "accepted-ended", Value: message{
-			verb: verbAccepted, canVote: true, senderID: processID, key: compatKey, ballot: ballot, accepted: laterBallot, value: compatEnded,
+			verb: verbAccepted, canVote: true, senderID: sender, key: compatKey, ballot: ballot, accepted: laterBallot, value: compatEnded,
 		}},
 		{Name: "fact", Value: message{
-			verb: verbOutcome, canVote: true, senderID: processID, key: compatOtherKey, accepted: ballot, value: compatEnded,
+			verb: verbOutcome, canVote: true, senderID: sender, key: compatOtherKey, accepted: ballot, value: compatEnded,
 		}},
-		{Name: "known", Value: message{verb: verbOutcomeAck, senderID: processID, key: compatOtherKey}},
+		{Name: "known", Value: message{verb: verbOutcomeAck, senderID: sender, key: compatOtherKey}},
 		{Name: "root", Value: message{
-			verb: verbProbe, nonce: 0xffffffff, senderID: processID, digest: 0x1112131415161718,
+			verb: verbProbe, nonce: 0xffffffff, senderID: sender, digest: 0x1112131415161718,
 		}},
 		{Name: "same", Value: message{
-			verb: verbMatch, nonce: 1, canVote: true, senderID: processID, digest: 0x1112131415161718,
+			verb: verbMatch, nonce: 1, canVote: true, senderID: sender, digest: 0x1112131415161718,
 		}},
 		{Name: "ask", Value: message{
-			verb: verbRangeRequest, nonce: 3, senderID: processID,
+			verb: verbRangeRequest, nonce: 3, senderID: sender,
 			exchange: antientropy.Exchange{Content: antientropy.RangeContent{Range: antientropy.Range{Level: 1, Index: 15}}},
 		}},
 		{Name: "sums", Value: message{
-			verb: verbRangeSums, nonce: 3, canVote: true, senderID: processID,
+			verb: verbRangeSums, nonce: 3, canVote: true, senderID: sender,
 			exchange: antientropy.Exchange{Content: antientropy.RangeContent{Range: antientropy.Range{Level: 2, Index: 255}, Sums: rangeSums}},
 		}},
 		{Name: "items", Value: message{
-			verb: verbRangeItems, senderID: processID,
+			verb: verbRangeItems, senderID: sender,
 			exchange: antientropy.Exchange{Content: antientropy.RangeContent{Range: antientropy.Range{Level: 3, Index: 4095}, Items: rangeItems, Partial: true}},
 		}},
 		{Name: "want", Value: message{
-			verb: verbRecordRequest, senderID: processID, exchange: antientropy.Exchange{Requested: []uint64{0x0102030405060708, 1}},
+			verb: verbRecordRequest, senderID: sender, exchange: antientropy.Exchange{Requested: []uint64{0x0102030405060708, 1}},
 		}},
-		{Name: "tell", Value: message{verb: verbRecords, canVote: true, senderID: processID, records: records}},
+		{Name: "tell", Value: message{verb: verbRecords, canVote: true, senderID: sender, records: records}},
 	}
 	encode := func(m message) []byte {
 		b := m.append(nil)
@@ -89,9 +89,8 @@
 	goldentest.Check(t, "messages.txt", cases, encode, decode)
 }
 
-// TestCompatPersisted checks that a front end that starts again reads the votes
-// that the previous version has persisted, by their keys, and persists them as the
-// same bytes.
+// TestCompatPersisted checks that a front end restores the votes that the previous
+// version has persisted, under their keys, and persists them as the same bytes.
 func TestCompatPersisted(t *testing.T) {
 	golden := goldentest.Read(t, "kept.txt")
 	want := []recordCopy{
@@ -99,7 +98,7 @@
 		{key: compatOtherKey, accepted: Ballot{11, 12}, promised: Ballot{11, 12}, value: compatEnded, ageSeconds: 0},
 	}
 	if len(golden) != len(want)+1 {
-		t.Errorf("%d golden lines", len(golden))
+		t.Errorf("%d golden lines, want %d", len(golden), len(want)+1)
 	}
 	m := New(Options{ProcessID: 1, Durable: true, Persisted: golden}, 1)
 	m.Apply(0, Start{})
@@ -117,7 +116,7 @@
 			t.Fatalf("%s is not restored", key)
 		}
 		if restored.accepted != record.accepted || restored.promised != record.promised || !reflect.DeepEqual(restored.value, record.value) {
-			t.Errorf("%s is restored as %+v", key, restored)
+			t.Errorf("%s is restored as %+v, want %+v", key, restored, record)
 		}
 		m.persist(restored, func() {})
 		persisted := m.effects.Persists[len(m.effects.Persists)-1]
@@ -127,7 +126,7 @@
 	}
 }
 
-// TestCompatVoterMark checks the mark that a recovered member puts on its disk.
+// TestCompatVoterMark checks the mark that a recovered member writes to its disk.
 func TestCompatVoterMark(t *testing.T) {
 	golden := goldentest.Read(t, "kept.txt")
 	m := New(Options{ProcessID: 1, Durable: true}, 1)
@@ -141,12 +140,13 @@
 		}
 	}
 	if !m.CanVote() || m.persistToken == 0 {
-		t.Errorf("can vote: %v, %d persisted", m.CanVote(), m.persistToken)
+		t.Errorf("can vote: %v, %d records persisted, want true and the voter mark",
+			m.CanVote(), m.persistToken)
 	}
 }
 
-// TestCompatDigests checks that equal copies have equal digests in every version.
-// Otherwise front ends would send one another all their records without end.
+// TestCompatDigests checks that equal copies have equal digests in all versions.
+// Otherwise front ends of two versions would send one another all records forever.
 func TestCompatDigests(t *testing.T) {
 	golden := goldentest.Read(t, "digests.txt")
 	m := New(Options{ProcessID: 1}, 1)
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,77 +1,79 @@
-// Package lease grants, among all front ends, the right to run a load that its
-// client gave an idempotency key, so that no load runs twice: not when a client
-// retries through another front end, and not when front ends crash, pause or are
-// partitioned.
+// Package lease grants leases across all front ends. A lease is the right to run a
+// load whose client gave it an idempotency key. No load runs twice, even if a client
+// retries through another front end, or if front ends crash, pause or are partitioned.
 //
-// A Manager is one front end's part. It is a deterministic state machine: events
-// and the time go in; messages, decisions and records to persist come out. It
-// does no I/O, reads no clock and starts no goroutine.
+// A Manager runs the protocol for one front end. It is a deterministic state machine:
+// its inputs are events and the time, its outputs are messages, decisions and records
+// to persist. It does no I/O, reads no clock and starts no goroutine.
 //
 // # Protocol
 //
-// Each key names one register, replicated on all front ends and changed by rounds
-// of CASPaxos (Rystsov, 2018). The proposer picks a ballot, reads the register
-// with a prepare message to all acceptors, works out the new value once a quorum
-// has promised, and has a quorum accept it. The states of a register are:
+// Each key has one register, which is replicated on all front ends and changed by
+// rounds of CASPaxos (Rystsov, 2018). The proposer picks a ballot and reads the
+// register with a prepare message to all acceptors. Once a quorum has promised, it
+// computes the new value and proposes it until a quorum has accepted it. The states of
+// a register are:
 //
-//	Free        nobody has the lease; the generation counts how often it was released
+//	Free        no process has the lease; the generation counts its releases
 //	Held        one process has the lease and may run the load once
-//	MayHaveRun  the process that had the lease has gone, or cannot say whether it ran
+//	MayHaveRun  the owner has left, or cannot say whether the load ran
 //	Ended       the load has run, with an outcome
 //
-// Ended needs no agreement: it is a fact that only the owner of the lease can
-// report. Every member that receives an outcome stores it, and it overrides every
-// other state, so that copies converge.
+// Ended needs no agreement, because only the owner of the lease can report an outcome.
+// Each member that receives an outcome stores it. An outcome overrides every other
+// state, so that copies converge.
 //
 // # Guarantees
 //
-// Whatever the network does:
+// The following holds even if messages are lost, delayed, duplicated or reordered:
 //
 //   - At most one process is granted the lease of a key, until that process has
 //     released it because the load provably never ran.
-//   - A front end that cannot reach a quorum grants nothing. It answers NoQuorum,
-//     the load has not run, and whatever its rounds may have left in the register
-//     it releases itself or takes over on the client's next attempt.
-//   - A lease whose owner has gone is never given to another process. Retries are
-//     answered PossiblyRan, or with the outcome where it is known.
+//   - A front end that cannot reach a quorum grants no lease. It decides NoQuorum, and
+//     the load has not run. If its rounds may have acquired the lease nevertheless, it
+//     releases the lease, or takes it over on the client's next attempt.
+//   - A lease whose owner has left is never granted to another process. The decision
+//     on retries is PossiblyRan, or AlreadyCompleted if the outcome is known.
 //
-// A paused owner that resumes may still run its load: it alone may, and others
-// were only told that the load may have run. A proposer that was paused within a
-// round finds the round expired by its own clock and starts another one.
+// An owner that was paused and resumes may still run its load. This is safe: no other
+// process may run the load, and the decision on other requests is only PossiblyRan. A
+// proposer that was paused within a round finds that the round has expired by its own
+// clock, and starts another round.
 //
 // # Recovery of an acceptor that lost its state
 //
-// A process that starts without its persisted votes must not vote as if it
-// remembered them. It waits Times.RecoveryDelayMS, which is longer than any round
-// lasts (each proposer checks that by its own clock, so only clock rates matter),
-// and then copies, range by range, the records and promises of N - quorum + 1
-// voters. Every promise or vote that it gave earlier was part of a quorum that
-// shares a member with those. Without the promises, a proposal that is delayed by
-// seconds could override a value that was chosen with the new process's vote.
-// Only when a majority of the fleet has lost its state at once, as at the first
-// start, do members vote with what is left. That is counted, and attempts marked
-// as retries whose key is unknown are answered Forgotten.
+// A process that starts without its persisted votes must not vote as if it still had
+// them. It waits Times.RecoveryDelayMS, which is longer than any round lasts. Each
+// proposer limits its rounds by its own clock, so only clock rates matter. Then the
+// process copies, range by range, the records and promises of N - quorum + 1 voters.
+// Each promise or vote that it gave earlier was part of a quorum that has a member in
+// common with these voters. If it did not copy the promises, a proposal that is delayed
+// by seconds could override a value that was chosen with the new process's vote.
+//
+// Only if a majority of the fleet has lost its state at once, as at the first start,
+// do members vote with the state that is left. Counters.RecoveriesWithoutQuorum counts
+// this. The decision on attempts marked as retries whose key is unknown is Forgotten.
 //
 // # Liveness and retention
 //
-// With a majority of voters that can reach one another, a grant takes two round
-// trips. Rounds that preempt one another back off at random. A record is kept for
-// Times.RetentionMS from when its key was first seen, by each member's own clock;
-// beyond Options.MaxLeases the oldest records are evicted first.
+// If a majority of voters can reach one another, a grant takes two round trips. Rounds
+// that preempt one another back off for a random time. Each member keeps a record for
+// Times.RetentionMS after it first received the key, by its own clock. If there are more
+// than Options.MaxLeases records, the oldest are evicted first.
 //
 // # Files
 //
 //   - manager.go: Manager and its view of the fleet
 //   - events.go: events, effects and counters
-//   - options.go: options, protocol times and their defaults
-//   - requests.go: requests of this front end's clients, releases and decisions
-//   - proposer.go: rounds of Paxos: prepare, accept, quorums, retries
+//   - options.go: options, protocol times and defaults
+//   - requests.go: requests of this front end's clients, decisions and releases
+//   - proposer.go: rounds of Paxos with their prepare and accept phases, quorums, backoff
 //   - acceptor.go: records, promises and votes
 //   - outcomes.go: announcement of outcomes to the other members
-//   - recovery.go: catch-up of a member that lost its state
+//   - recovery.go: recovery of a member that lost its state
 //   - antientropy.go: comparison of copies with other members
 //   - retention.go: eviction of old records
-//   - persistence.go: restored and persisted records
-//   - messages.go: dispatch of received messages, sending
+//   - persistence.go: restoring and persisting of records
+//   - messages.go: dispatch of received messages, sending of messages
 //   - wire.go: encoding of messages and persisted records
 package lease
--- a/internal/lease/events.go
+++ b/internal/lease/events.go
@@ -2,7 +2,7 @@
 
 import "dewhill/internal/membership"
 
-// What this package has in common with membership.
+// The types shared with package membership.
 type (
 	// Peer is another front end.
 	Peer = membership.Peer
@@ -15,7 +15,7 @@
 
 // The events.
 type (
-	// Start is the first event: the manager restores what was persisted.
+	// Start is the first event: the manager restores the persisted records.
 	Start struct{}
 	// TimerFired reports that the time returned by NextTimerMS has come.
 	TimerFired struct{}
@@ -26,22 +26,23 @@
 	}
 	// MembersChanged replaces the view of the fleet.
 	MembersChanged membership.Roster
-	// AcquireRequest asks whether this front end may run a load. It is answered by
+	// AcquireRequest asks whether this front end may run a load. The manager returns
 	// a Decision with the same ticket, by the deadline at the latest.
 	AcquireRequest struct {
 		Key         Key
-		Fingerprint uint64 // hash of what the load runs
+		Fingerprint uint64 // hash of the load's content
 		Ticket      uint64
 		DeadlineMS  float64
 		IsRetry     bool // the client marked the attempt as a retry
 	}
-	// Released reports how a load ended for which a lease was granted.
+	// Released reports how a load that was granted a lease has ended.
 	Released struct {
 		Key     Key
 		Result  RunResult
-		Outcome []byte // of a load that Completed
+		Outcome []byte // of a load with the result Completed
 	}
-	// Persisted reports that the Persist effect with the token is on the disk.
+	// Persisted reports that the Persist effect with the token has been written to
+	// disk.
 	Persisted struct{ Token uint64 }
 )
 
@@ -53,8 +54,8 @@
 func (Released) event()        {}
 func (Persisted) event()       {}
 
-// Persist asks for a record to be written to the disk. A nil Record asks for the
-// key to be deleted.
+// Persist asks for a record to be written to disk. A nil Record asks for the key to be
+// deleted.
 type Persist struct {
 	Token  uint64
 	Key    string
@@ -79,11 +80,11 @@
 	RunningElsewhere        int `json:"InFlight"`  // decisions RunningElsewhere
 	UnusedReleased          int `json:"Freed"`     // leases released because the load never ran
 	Rounds                  int `json:"Rounds"`    // rounds started
-	RoundsPreempted         int `json:"Met"`       // replies that a later round had begun
+	RoundsPreempted         int `json:"Met"`       // replies that a later round has begun
 	MessagesSent            int `json:"Sent"`      // messages sent
-	BytesSent               int `json:"BytesSent"` // bytes of these
+	BytesSent               int `json:"BytesSent"` // bytes of the messages sent
 	MessagesReceived        int `json:"Received"`  // messages received
-	MalformedMessages       int `json:"Spoilt"`    // of these, could not be decoded
-	RecordsEvicted          int `json:"Forgotten"` // by age or for want of capacity
-	RecoveriesWithoutQuorum int `json:"Amnesia"`   // recoveries while a majority had lost its state
+	MalformedMessages       int `json:"Spoilt"`    // received messages that could not be decoded
+	RecordsEvicted          int `json:"Forgotten"` // records evicted by age or for lack of capacity
+	RecoveriesWithoutQuorum int `json:"Amnesia"`   // recoveries when a majority had lost its state
 }
--- a/internal/lease/fleet_test.go
+++ b/internal/lease/fleet_test.go
@@ -11,28 +11,28 @@
 	"dewhill/internal/virtualclock"
 )
 
-// fleet simulates front ends that acquire leases, on a lossy network and a virtual
-// clock, in one goroutine. Clients try each load again and again through random
-// front ends until they have a final answer.
+// fleet simulates front ends that acquire leases, with a lossy network and a virtual
+// clock, in one goroutine. Clients attempt each load through random front ends until
+// they have a final response.
 type fleet struct {
 	virtualclock.Clock
 	rng       *rand.Rand
 	options   Options
 	managers  []*Manager // nil: the process is down
 	paused    []bool
-	deferred  [][]func() // what waits for a paused process to resume
-	partition []int      // members with equal numbers reach one another
+	deferred  [][]func() // callbacks until a paused process resumes
+	partition []int      // front ends with equal numbers reach one another
 	lossRate  float64
 	intercept func(from, to int, msg []byte) bool // true: the message is lost
-	disks     []map[string][]byte                 // nil: the front end has none
+	disks     []map[string][]byte                 // nil: the front end has no disk
 	timers    []*virtualclock.Timer
 	waiting   map[uint64]func(Decision) // by ticket
 	ticket    uint64
-	runs      map[Key][]string // which attempts ran a load
-	grantMS   []float64        // how long grants took
+	runs      map[Key][]string // names of the attempts that ran a load
+	grantMS   []float64        // latencies of grants
 }
 
-// maxMessageBytes is the limit that messages of the simulated fleet must keep.
+// maxMessageBytes is the limit that messages of the simulated fleet must not exceed.
 const maxMessageBytes = 250
 
 func newFleet(seed uint64, size int, durable bool, o Options) *fleet {
@@ -57,7 +57,7 @@
 	return f
 }
 
-// start starts a front end's process, if it is down.
+// start starts a front end's process if the process is down.
 func (f *fleet) start(i int) {
 	if f.managers[i] != nil {
 		return
@@ -104,8 +104,8 @@
 	f.partition = sides
 }
 
-// updateAllMembers updates the views of all some seconds late: meanwhile they are
-// wrong.
+// updateAllMembers updates the fleet view of each front end 0.5 to 3.5 seconds late.
+// Until then, the views are outdated.
 func (f *fleet) updateAllMembers() {
 	f.After(500+3000*f.rng.Float64(), func() {
 		for i := range f.managers {
@@ -150,10 +150,10 @@
 	}
 }
 
-// transmit delivers a message late, twice, out of order or not at all.
+// transmit delivers a message with a delay, possibly twice, out of order or not at all.
 func (f *fleet) transmit(from int, s Send) {
 	if len(s.Message) > maxMessageBytes {
-		panic(fmt.Sprint(len(s.Message), " bytes"))
+		panic(fmt.Sprintf("message of %d bytes exceeds the limit of %d", len(s.Message), maxMessageBytes))
 	}
 	to := s.To.Number
 	copies := 1
@@ -174,7 +174,8 @@
 	}
 }
 
-// persist writes a record to a front end's disk, unless it is killed before.
+// persist writes a record to a front end's disk, unless the front end is killed before
+// the write completes.
 func (f *fleet) persist(i int, p Persist) {
 	const diskLatencyMS = 5
 	m := f.managers[i]
@@ -191,8 +192,8 @@
 	})
 }
 
-// whenRunning does something in a process: at once, when it resumes, or not at all
-// if it is down.
+// whenRunning calls a function in a front end's process: at once, or when the process
+// resumes if it is paused, or never if it is down.
 func (f *fleet) whenRunning(i int, callback func()) {
 	switch {
 	case f.managers[i] == nil:
@@ -203,8 +204,8 @@
 	}
 }
 
-// request asks a front end for a lease and runs the fleet for a while. Without an
-// answer, the decision's ticket is 0.
+// request requests a lease from a front end and runs the fleet for runMS. If there is
+// no decision by then, the returned decision's ticket is 0.
 func (f *fleet) request(i int, request AcquireRequest, timeoutMS, runMS float64) (decision Decision) {
 	f.ticket++
 	f.waiting[f.ticket] = func(got Decision) { decision = got }
@@ -215,13 +216,13 @@
 	return decision
 }
 
-// client is a client that attempts one load until it has a final answer.
+// client is a client that attempts one load until it has a final response.
 type client struct {
 	key         Key
 	fingerprint uint64
-	marksRetry  bool // marks its retries as such
+	marksRetry  bool // marks its retries as retries
 	attempts    int
-	rejected    int // by NoQuorum
+	rejected    int // number of NoQuorum decisions
 	response    string
 }
 
@@ -236,12 +237,12 @@
 type acquisitionKind int
 
 const (
-	acquire      acquisitionKind = iota // gets the lease if nobody has it
+	acquire      acquisitionKind = iota // gets the lease if no attempt has it
 	release                             // gives up the lease if the attempt has it
-	maybeAcquire                        // may get the lease for a while, unnoticed
+	maybeAcquire                        // may get the lease for a time, unnoticed
 )
 
-// appendPending adds an operation that takes effect at any time after a call, or
+// appendPending adds an operation that takes effect at any time after the call, or
 // never.
 func appendPending(history *[]porcupine.Operation, in acquisition, calledMS float64) {
 	*history = append(*history, porcupine.Operation{
@@ -255,7 +256,7 @@
 type attempt struct {
 	f         *fleet
 	client    *client
-	history   *[]porcupine.Operation // nil: none is recorded
+	history   *[]porcupine.Operation // nil: no history is recorded
 	untilMS   float64                // after which the client gives up
 	frontEnd  int
 	manager   *Manager
@@ -264,9 +265,9 @@
 	responded bool
 }
 
-// attempt has a client attempt its load through a random front end. A granted load
-// takes a while, may be dropped by its engine before it runs, and its front end
-// may stop at any point.
+// attempt makes a client attempt its load through a random front end. A granted load
+// runs for a random time, its engine may drop it before it runs, and its front end may
+// stop at any point.
 func (f *fleet) attempt(c *client, history *[]porcupine.Operation, untilMS float64) {
 	i := f.rng.IntN(len(f.managers))
 	c.attempts++
@@ -288,14 +289,16 @@
 	})
 }
 
-// scheduleRetry has the client try again, unless it has an answer.
+// scheduleRetry schedules the client's next attempt, unless it has a response or gives
+// up.
 func (a *attempt) scheduleRetry() {
 	if a.f.NowMS < a.untilMS && a.client.response == "" {
 		a.f.After(20+400*a.f.rng.Float64(), func() { a.f.attempt(a.client, a.history, a.untilMS) })
 	}
 }
 
-// respond gives the client its answer, or "" for none. Only the first one counts.
+// respond ends the attempt with a response, or with "" if there is none. Only the first
+// call has an effect.
 func (a *attempt) respond(text string) {
 	if a.responded {
 		return
@@ -312,7 +315,7 @@
 	switch d.Kind {
 	case Granted:
 		a.f.grantMS = append(a.f.grantMS, d.ElapsedMS)
-		// A front end that is paused with the grant in hand goes on later.
+		// A front end that is paused after a grant runs the load when it resumes.
 		a.f.After(30*a.f.rng.Float64(), func() { a.f.whenRunning(a.frontEnd, a.run) })
 	case AlreadyCompleted:
 		a.respond(string(d.Outcome))
--- a/internal/lease/linearizability_test.go
+++ b/internal/lease/linearizability_test.go
@@ -8,8 +8,9 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// leaseModel is the register of a key for the linearizability checker. Its state
-// is the attempt that has the lease; a lease is granted where nobody has it.
+// leaseModel models the register of a key for the linearizability checker. Its state
+// is the name of the attempt that has the lease. A lease is granted only if no attempt
+// has it.
 var leaseModel = porcupine.Model{
 	Partition: partitionByKey,
 	Init:      func() any { return "" },
@@ -51,8 +52,8 @@
 	return parts
 }
 
-// simulateContention simulates many clients on few keys, with a partition meanwhile,
-// and returns the history of their requests.
+// simulateContention simulates many clients that request few keys while the fleet is
+// partitioned for a time. It returns the history of the requests.
 func simulateContention(seed uint64) (history []porcupine.Operation) {
 	const (
 		keys          = 40
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -11,8 +11,8 @@
 // Key is the hash of a load's idempotency key.
 type Key [16]byte
 
-// Manager is one front end's part in granting leases. It is not safe for
-// concurrent use.
+// Manager is the state machine with which one front end takes part in granting leases.
+// It is not safe for concurrent use.
 type Manager struct {
 	options     Options
 	rng         *rand.Rand
@@ -34,16 +34,16 @@
 	Counters      Counters
 }
 
-// bytesPerSecond is the average rate to which sent bytes are limited, as far as
-// messages can wait.
+// bytesPerSecond is the limit on the average rate of sent bytes. Messages that must
+// not wait may exceed it.
 const bytesPerSecond = 32_768.0
 
-// rngStream separates the random numbers of this package from those of others
-// that have the same seed.
+// rngStream separates the random numbers of this package from those of other packages
+// that use the same seed.
 const rngStream = 0x636c6169
 
-// New returns the manager of a process that has just started. Its decisions are a
-// function of the options, the seed and the events.
+// New returns the manager of a process that has just started. Its effects depend only
+// on the options, the seed and the events.
 func New(o Options, seed uint64) *Manager {
 	m := &Manager{
 		options:     o.withDefaults(),
@@ -58,8 +58,9 @@
 	return m
 }
 
-// Apply processes one event at a time in milliseconds and returns its effects.
-// Time never goes back: an earlier time counts as that of the previous event.
+// Apply processes one event, which occurred at a time in milliseconds, and returns its
+// effects. Time does not go backwards: an earlier time counts as the time of the
+// previous event.
 func (m *Manager) Apply(nowMS float64, ev Event) *Effects {
 	m.effects = Effects{
 		Sends:     m.effects.Sends[:0],
@@ -80,7 +81,7 @@
 	case Start:
 		m.start()
 	case TimerFired:
-		// runDueActions does all that is due.
+		// Apply calls runDueActions after each event.
 	case MessageReceived:
 		m.receive(ev)
 	case MembersChanged:
@@ -94,18 +95,18 @@
 	}
 }
 
-// NextTimerMS returns when TimerFired is due.
+// NextTimerMS returns the time at which TimerFired is due.
 func (m *Manager) NextTimerMS() float64 { return m.nextTimerMS }
 
-// CanVote reports whether this front end votes: it remembers all its votes, or
-// has caught up with those who do.
+// CanVote reports whether this front end votes: it has all its earlier votes, or has
+// caught up after it lost them.
 func (m *Manager) CanVote() bool { return m.recovery.canVote }
 
 // Digest returns a digest of all records. Managers with equal records have equal
 // digests.
 func (m *Manager) Digest() uint64 { return m.records.tree.Digest() }
 
-// CountByState returns how many records there are in each State.
+// CountByState returns the number of records in each State.
 func (m *Manager) CountByState() (counts [Ended + 1]int) {
 	for _, r := range m.records.byKey {
 		counts[r.value.State]++
@@ -120,7 +121,7 @@
 	m.restore()
 }
 
-// runDueActions does what is due and sets the time of the next timer.
+// runDueActions runs all actions that are due and sets the time of the next timer.
 func (m *Manager) runDueActions() {
 	m.runOperations()
 	m.announceOutcomes()
@@ -143,12 +144,13 @@
 // members is this front end's view of the fleet.
 type members struct {
 	alive, all   []Peer
-	clusterSize  int             // members, with this front end
-	processIDs   map[Peer]uint64 // the process that a member was last heard to be
+	clusterSize  int             // number of members, including this front end
+	processIDs   map[Peer]uint64 // process ID in the last message received from a member
 	peerStatuses map[Peer]peerStatus
 }
 
-// peerStatus is when a member was last heard from, and whether it could vote.
+// peerStatus is the time of the last message received from a member, and whether the
+// member could vote then.
 type peerStatus struct {
 	receivedAtMS float64
 	canVote      bool
@@ -164,5 +166,5 @@
 	s.clusterSize = ev.Size
 }
 
-// majority returns how many members of a cluster are a majority.
+// majority returns the smallest number of members that is a majority of a cluster.
 func majority(clusterSize int) int { return clusterSize/2 + 1 }
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestDecisions checks each decision: an unknown key that is marked as a retry, a
-// key that belongs to another load, a load that runs, has run or may have run, and
-// the minority side of a partition, which leaves no lease behind.
+// TestDecisions checks each decision: on an unknown key that is marked as a retry, on a
+// key that belongs to another load, on a load that is running, has run or may have run,
+// and on the minority side of a partition, which must leave no lease behind.
 func TestDecisions(t *testing.T) {
 	f := newFleet(3, 5, false, Options{})
 	f.Run(10_000)
@@ -21,11 +21,11 @@
 		t.Errorf("another load with the key: %+v", d)
 	}
 	if d := request(1, 1, 5, true); d.Kind != RunningElsewhere {
-		t.Errorf("while it runs: %+v", d)
+		t.Errorf("while the load runs: %+v", d)
 	}
 	f.apply(0, Released{Key: testKey(1), Result: Completed, Outcome: []byte("3 rows")})
 	if d := request(2, 1, 5, true); d.Kind != AlreadyCompleted || string(d.Outcome) != "3 rows" {
-		t.Errorf("after it has run: %+v", d)
+		t.Errorf("after the load has run: %+v", d)
 	}
 	f.setPartition(0, 0, 0, 1, 1)
 	if d := request(3, 2, 5, false); d.Kind != NoQuorum {
@@ -39,19 +39,19 @@
 	f.kill(1)
 	f.Run(5000)
 	if d := request(0, 2, 5, false); d.Kind != PossiblyRan {
-		t.Errorf("after its owner has gone: %+v", d)
+		t.Errorf("after the owner has left: %+v", d)
 	}
 	f.start(1)
 	f.Run(10_000)
 	m := f.managers[1]
 	if !m.CanVote() || m.Counters.RecoveriesWithoutQuorum != 0 || m.Digest() != f.managers[0].Digest() {
-		t.Errorf("after the loss of its state, it votes: %v, has the others' records: %v",
+		t.Errorf("after the loss of its state: votes %v, has the records of the others %v",
 			m.CanVote(), m.Digest() == f.managers[0].Digest())
 	}
 }
 
-// BenchmarkAcquire measures the cost of a lease over five front ends: all of their
-// work and the network's together.
+// BenchmarkAcquire measures the cost of a lease with five front ends, including the
+// work of all of them and of the simulated network.
 func BenchmarkAcquire(b *testing.B) {
 	f := newFleet(1, 5, false, Options{})
 	f.Run(10_000)
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// send sends a message with what every message says of its sender.
+// send sends a message, with the sender's fields set as in every message.
 func (m *Manager) send(to Peer, msg *message) {
 	msg.canVote = m.CanVote()
 	msg.senderID = m.options.ProcessID
--- a/internal/lease/mutants_test.go
+++ b/internal/lease/mutants_test.go
@@ -7,14 +7,14 @@
 )
 
 var (
-	// singleVoteMajority takes a front end's own vote for a quorum.
+	// singleVoteMajority counts a front end's own vote as a quorum.
 	singleVoteMajority = mutanttest.Mutant{
 		Name: "single vote majority",
 		File: "internal/lease/proposer.go",
 		Old:  "return majority(m.members.clusterSize)",
 		New:  "return 1",
 	}
-	// ownerMayLoseLease grants a lease whose owner has gone to another process.
+	// ownerMayLoseLease grants a lease to another process once its owner has left.
 	ownerMayLoseLease = mutanttest.Mutant{
 		Name: "owner may lose lease",
 		File: "internal/lease/proposer.go",
@@ -24,7 +24,7 @@
 			"\t\top.round.proposal = m.newLease(op, read.Generation)\n" +
 			"\tcase false:",
 	}
-	// voteWithoutState has members that lost their votes vote at once.
+	// voteWithoutState lets members that lost their votes vote at once.
 	voteWithoutState = mutanttest.Mutant{
 		Name: "vote without state",
 		File: "internal/lease/persistence.go",
--- a/internal/lease/outcomes.go
+++ b/internal/lease/outcomes.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// startAnnouncing begins to send an outcome to all members.
+// startAnnouncing starts to send an outcome to all members.
 func (m *Manager) startAnnouncing(r *record) {
 	r.acknowledged = map[Peer]bool{}
 	r.announceAtMS = m.nowMS
 	m.announcing = append(m.announcing, r)
 }
 
-// announceOutcomes sends the outcomes that are due.
+// announceOutcomes sends the outcomes whose next announcement is due.
 func (m *Manager) announceOutcomes() {
 	for _, r := range m.announcing {
 		if r.announceAtMS <= m.nowMS {
@@ -19,8 +19,8 @@
 	m.announcing = slices.DeleteFunc(m.announcing, func(r *record) bool { return r.announceAtMS == 0 })
 }
 
-// announce sends an outcome to those who have not acknowledged it, until a quorum
-// and all live members have it. Others learn it when copies are compared.
+// announce sends an outcome to the members that have not acknowledged it, until a
+// quorum and all live members have it. Other members learn it when copies are compared.
 func (m *Manager) announce(r *record) {
 	isReplicated := len(r.acknowledged)+1 >= m.quorum() && len(r.acknowledged) >= len(m.members.alive)
 	if isReplicated || m.nowMS > r.createdAtMS+m.options.Times.RetentionMS {
@@ -36,7 +36,7 @@
 	}
 }
 
-// receiveOutcome learns an outcome and acknowledges it once it is persisted.
+// receiveOutcome learns an outcome, and acknowledges it after it is persisted.
 func (m *Manager) receiveOutcome(from Peer, msg *message) {
 	r := m.recordOf(msg.key)
 	acknowledge := func() { m.send(from, &message{verb: verbOutcomeAck, key: msg.key}) }
@@ -47,7 +47,7 @@
 	acknowledge()
 }
 
-// receiveOutcomeAck notes that a member has an outcome.
+// receiveOutcomeAck records that a member has an outcome.
 func (m *Manager) receiveOutcomeAck(from Peer, key Key) {
 	r := m.records.byKey[key]
 	if r != nil && r.acknowledged != nil {
--- a/internal/lease/persistence.go
+++ b/internal/lease/persistence.go
@@ -3,19 +3,19 @@
 import "encoding/hex"
 
 const (
-	// recordKeyPrefix precedes the hexadecimal key of a record on the disk.
+	// recordKeyPrefix precedes the hexadecimal key of a record on disk.
 	recordKeyPrefix = "claim/"
-	// voterMarkKey is the key under which the disk says that it has all votes.
+	// voterMarkKey is the key of a mark that all votes of this front end are on disk.
 	voterMarkKey = "voter"
 )
 
-// persistedSenderID stands for the sender in persisted records, which have none.
+// persistedSenderID is the sender ID in persisted records, which have no sender.
 const persistedSenderID = 1
 
 func persistenceKey(key Key) string { return recordKeyPrefix + hex.EncodeToString(key[:]) }
 
-// restore reads what an earlier process has persisted. Records that cannot be
-// decoded are skipped.
+// restore reads the records that an earlier process has persisted. It skips records
+// that cannot be decoded.
 func (m *Manager) restore() {
 	hasVoterMark := false
 	for name, encoded := range m.options.Persisted {
@@ -37,8 +37,8 @@
 	m.recovery.canVote = hasVoterMark
 }
 
-// persist writes a record to the disk, and then calls a function. Without a disk
-// it calls it at once.
+// persist writes a record to disk and calls done when it is written. If the options
+// are not Durable, it calls done at once.
 func (m *Manager) persist(r *record, done func()) {
 	if !m.options.Durable {
 		done()
@@ -49,29 +49,30 @@
 	m.onPersisted[token] = done
 }
 
-// handlePersisted goes on with what waited for the disk.
+// handlePersisted calls the function that waits for a record to be written.
 func (m *Manager) handlePersisted(token uint64) {
-	done, waiting := m.onPersisted[token]
-	if waiting {
+	done, found := m.onPersisted[token]
+	if found {
 		done()
 		delete(m.onPersisted, token)
 	}
 }
 
-// deletePersisted deletes an evicted record from the disk.
+// deletePersisted deletes an evicted record from disk.
 func (m *Manager) deletePersisted(r *record) {
 	if m.options.Durable {
 		m.emitPersist(persistenceKey(r.key), nil)
 	}
 }
 
-// persistVoterMark notes on the disk that it has all votes from now on.
+// persistVoterMark writes the mark that all votes from now on are on disk.
 func (m *Manager) persistVoterMark() {
 	if m.options.Durable {
 		m.emitPersist(voterMarkKey, []byte{1})
 	}
 }
 
+// emitPersist adds a Persist effect. A nil record deletes the key.
 func (m *Manager) emitPersist(key string, encoded []byte) (token uint64) {
 	m.persistToken++
 	m.effects.Persists = append(m.effects.Persists, Persist{Token: m.persistToken, Key: key, Record: encoded})
--- a/internal/lease/proposer.go
+++ b/internal/lease/proposer.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// phase is how far a round has come.
+// phase is the phase of a round.
 type phase uint8
 
 const (
-	phaseIdle      phase = iota // no round is under way
-	phasePreparing              // waits for a quorum of promises
-	phaseAccepting              // waits for a quorum of accepts
+	phaseIdle      phase = iota // no round is in progress
+	phasePreparing              // waiting for a quorum of promises
+	phaseAccepting              // waiting for a quorum of accepts
 )
 
 // round is one round of Paxos.
@@ -16,14 +16,14 @@
 	phase       phase
 	ballot      Ballot
 	startedAtMS float64
-	votes       map[Peer]bool // members that have answered in this phase
+	votes       map[Peer]bool // members that have voted in this phase
 	ownVote     bool
-	readBallot  Ballot // the highest accepted ballot among the promises
-	read        Value  // the value accepted with it
+	readBallot  Ballot // highest accepted ballot among the promises
+	read        Value  // value accepted with readBallot, or an outcome
 	proposal    Value
 }
 
-// startPhase forgets the votes of the phase before.
+// startPhase starts a phase and discards the votes of the previous phase.
 func (r *round) startPhase(p phase) {
 	r.phase = p
 	r.votes = map[Peer]bool{}
@@ -37,14 +37,15 @@
 	return len(r.votes)
 }
 
-// quorum returns how many votes decide a round.
+// quorum returns the number of votes that decide a phase of a round.
 func (m *Manager) quorum() int {
 	return majority(m.members.clusterSize)
 }
 
-// runOperations starts rounds and sends their messages again as they are due.
+// runOperations starts the rounds, resends the messages and ends the operations that
+// are due.
 func (m *Manager) runOperations() {
-	for i := 0; i < len(m.operations); i++ { // operations may be added meanwhile
+	for i := 0; i < len(m.operations); i++ { // expire may add operations
 		op := m.operations[i]
 		endMS := op.endMS(m.options.Times.NoQuorumAfterMS)
 		if op.finished || op.nextActionMS > m.nowMS && endMS > m.nowMS {
@@ -63,13 +64,14 @@
 	m.operations = slices.DeleteFunc(m.operations, func(op *operation) bool { return op.finished })
 }
 
-// isExpired reports whether a round has taken too long for its votes to count: a
-// voter may have lost its state and caught up since.
+// isExpired reports whether a round has taken so long that its votes no longer count,
+// because a voter may have lost its state and caught up since.
 func (m *Manager) isExpired(r *round) bool {
 	return m.nowMS > r.startedAtMS+m.options.Times.RoundTimeoutMS
 }
 
-// startRound begins the prepare phase with a higher ballot than any known one.
+// startRound starts the prepare phase of a round with a ballot that is higher than all
+// ballots recorded for the key.
 func (m *Manager) startRound(op *operation) {
 	r := m.recordOf(op.key)
 	if op.request != nil && r.value.State == Ended {
@@ -78,10 +80,10 @@
 	}
 	m.Counters.Rounds++
 	r.maxOwnBallot = max(op.seenBallot, r.promised.Number, r.accepted.Number, r.maxOwnBallot) + 1
-	op.round = round{ballot: Ballot{Number: r.maxOwnBallot, ProposerID: m.options.ProcessID}, startedAtMS: m.nowMS}
+	ballot := Ballot{Number: r.maxOwnBallot, ProposerID: m.options.ProcessID}
+	op.round = round{ballot: ballot, startedAtMS: m.nowMS}
 	op.round.startPhase(phasePreparing)
 	op.nextActionMS = m.nowMS + m.options.Times.ResendMS
-	ballot := op.round.ballot
 	if m.CanVote() && !r.promised.above(ballot) {
 		m.promise(r, ballot)
 		op.round.readBallot = r.accepted
@@ -91,7 +93,7 @@
 	m.broadcast(op)
 }
 
-// broadcast sends the message of the present phase to all who have not answered.
+// broadcast sends the message of the current phase to all members that have not voted.
 func (m *Manager) broadcast(op *operation) {
 	msg := &message{verb: verbPrepare, key: op.key, ballot: op.round.ballot}
 	if op.round.phase == phaseAccepting {
@@ -105,7 +107,7 @@
 	}
 }
 
-// receiveVote processes the reply to a prepare or accept message.
+// receiveVote processes a reply to a prepare or accept message.
 func (m *Manager) receiveVote(from Peer, msg *message) {
 	if msg.value.State == Ended {
 		m.learn(m.recordOf(msg.key), msg.accepted, msg.value)
@@ -131,7 +133,8 @@
 	}
 }
 
-// mergePromise keeps the value with the highest ballot, or an outcome.
+// mergePromise adopts the value in a promise if it has the highest ballot so far or is
+// an outcome.
 func (r *round) mergePromise(msg *message) {
 	if r.read.State == Ended {
 		return
@@ -142,8 +145,8 @@
 	}
 }
 
-// countOwnVote counts this front end's own vote, unless the operation has gone on
-// while the vote was being persisted.
+// countOwnVote counts this front end's own vote, unless the operation has reached
+// another phase or round while the vote was being persisted.
 func (m *Manager) countOwnVote(op *operation, ballot Ballot, p phase) {
 	if op.finished || op.round.ballot != ballot || op.round.phase != p {
 		return
@@ -152,7 +155,7 @@
 	m.checkQuorum(op)
 }
 
-// checkQuorum goes on to the next phase once a quorum has voted.
+// checkQuorum continues with the next phase once a quorum has voted.
 func (m *Manager) checkQuorum(op *operation) {
 	if op.round.voteCount() < m.quorum() {
 		return
@@ -167,7 +170,7 @@
 	}
 }
 
-// startAccepting begins the accept phase of a round whose proposal is set.
+// startAccepting starts the accept phase of a round, whose proposal must be set.
 func (m *Manager) startAccepting(op *operation) {
 	r := m.recordOf(op.key)
 	op.round.startPhase(phaseAccepting)
@@ -186,14 +189,14 @@
 	}
 }
 
-// chooseProposal is the change function of a round: it sets the proposal, and the
-// decision to give once it is chosen, from the value that the round has read. It
-// reports false if the operation has finished without a proposal.
+// chooseProposal is the change function of a round. From the value that the round has
+// read, it sets the proposal, and the decision to return once the proposal is chosen.
+// It reports false if the operation has finished without a proposal.
 func (m *Manager) chooseProposal(op *operation) bool {
 	r := m.recordOf(op.key)
 	if op.round.read.State == Ended {
 		m.learn(r, op.round.readBallot, op.round.read)
-	} else if r.value.State == Ended { // learned since it was read
+	} else if r.value.State == Ended { // an outcome learned since the value was read
 		op.round.read = r.value
 	}
 	op.round.proposal = op.round.read
@@ -203,12 +206,12 @@
 	return m.proposeLease(op, r)
 }
 
-// proposeRelease proposes that an unused lease of this process is free again.
+// proposeRelease proposes to free an unused lease of this process.
 func (m *Manager) proposeRelease(op *operation, r *record) bool {
 	read := op.round.read
 	isUnusedLease := read.State == Held && read.Owner == m.options.ProcessID && read.Generation == op.releaseGeneration &&
 		!r.running && r.grantedGeneration != read.Generation+1
-	if !isUnusedLease { // it is released already, or was never held
+	if !isUnusedLease { // the lease is released already, or was never held
 		op.finished = true
 		return false
 	}
@@ -216,7 +219,7 @@
 	return true
 }
 
-// proposeLease proposes a value in answer to a client's request.
+// proposeLease proposes the value that follows from a client's request.
 func (m *Manager) proposeLease(op *operation, r *record) bool {
 	read := op.round.read
 	isOwn := read.Owner == m.options.ProcessID
@@ -236,8 +239,8 @@
 	case read.State == MayHaveRun:
 		op.decision = PossiblyRan
 	case isOwn && r.grantedGeneration != read.Generation+1:
-		op.decision = Granted // an earlier round of this process's own was chosen unnoticed
-	case isOwn && !r.running: // granted here, and its result is unknown
+		op.decision = Granted // a proposal of an earlier round of this process was chosen unnoticed
+	case isOwn && !r.running: // granted to this process, with an unknown result
 		op.decision = PossiblyRan
 		op.round.proposal.State = MayHaveRun
 	case m.ownerHasLeft(read.Owner):
@@ -250,15 +253,20 @@
 }
 
 func (m *Manager) newLease(op *operation, generation uint32) Value {
-	return Value{Generation: generation, State: Held, Owner: m.options.ProcessID, Fingerprint: op.request.Fingerprint}
+	return Value{
+		Generation:  generation,
+		State:       Held,
+		Owner:       m.options.ProcessID,
+		Fingerprint: op.request.Fingerprint,
+	}
 }
 
-// unknownOwnerTimeoutMS is how long after the start an owner that was never
-// heard from is taken to have left.
+// unknownOwnerTimeoutMS is the time after the start of this process after which an
+// owner from which no message was received is assumed to have left.
 const unknownOwnerTimeoutMS = 5000.0
 
-// ownerHasLeft reports whether the process that owns a lease has ended, as far as is
-// known. A wrong answer costs a client its outcome or some time, nothing else.
+// ownerHasLeft reports whether the process that owns a lease is assumed to have ended.
+// A wrong assumption only costs a client the outcome of its load, or some time.
 func (m *Manager) ownerHasLeft(owner uint64) bool {
 	if owner == m.options.ProcessID {
 		return false
@@ -271,7 +279,7 @@
 	return m.nowMS > m.recovery.startedAtMS+unknownOwnerTimeoutMS
 }
 
-// finishRound finishes a round whose proposal a quorum has accepted.
+// finishRound finishes a round whose proposal was chosen: a quorum has accepted it.
 func (m *Manager) finishRound(op *operation) {
 	op.hadQuorum = true
 	r := m.recordOf(op.key)
@@ -291,7 +299,7 @@
 		}
 	}
 	switch op.decision {
-	case RunningElsewhere: // polled until the load has ended
+	case RunningElsewhere: // polls until the load has ended
 		op.round.phase = phaseIdle
 		op.nextActionMS = min(op.deadlineMS, m.nowMS+m.options.Times.PollIntervalMS)
 	case Granted:
@@ -304,12 +312,12 @@
 }
 
 const (
-	maxBackoffPerAttemptMS = 40.0 // between rounds that preempted one another
-	maxBackoffAttempts     = 8    // beyond which the backoff grows no longer
+	maxBackoffPerAttemptMS = 40.0 // limit per failed round, for rounds that preempt one another
+	maxBackoffAttempts     = 8    // failed rounds after which the backoff stays the same
 )
 
-// scheduleNextRound has another round start after a random backoff. Its ballot is
-// above seenBallot.
+// scheduleNextRound schedules another round after a random backoff. Its ballot will be
+// higher than seenBallot.
 func (m *Manager) scheduleNextRound(op *operation, seenBallot uint32) {
 	op.failedRounds++
 	op.seenBallot = max(op.seenBallot, seenBallot)
--- a/internal/lease/recovery.go
+++ b/internal/lease/recovery.go
@@ -7,40 +7,43 @@
 )
 
 const (
-	// recoveryRanges is into how many ranges records are divided for catch-up:
-	// those of the second level of digests.
+	// recoveryRanges is the number of ranges into which records are divided for
+	// catch-up: the ranges of the second level of digests.
 	recoveryRanges = antientropy.Fanout * antientropy.Fanout
-	// recoveryCompareIntervalMS is between comparisons of a member that catches up.
+	// recoveryCompareIntervalMS is the interval between comparisons while a member
+	// catches up.
 	recoveryCompareIntervalMS = 150.0
-	// peerStatusValidMS is for how long after a message its sender counts as running.
+	// peerStatusValidMS is the time after a message during which its sender counts as
+	// running.
 	peerStatusValidMS = 3000.0
 )
 
-// recovery tracks how a member that lost its votes catches up with the voters.
+// recovery is the progress of a member that lost its votes in catching up with the
+// voters.
 type recovery struct {
-	canVote     bool // this member remembers its votes, or has caught up
+	canVote     bool // this member has all its votes, or has caught up
 	startedAtMS float64
-	nonce       uint32                         // tells replies to this process from those to an earlier one
-	matched     map[Peer]*[recoveryRanges]bool // ranges found equal to a voter's copy
+	nonce       uint32                         // distinguishes replies to this process and to an earlier one
+	matched     map[Peer]*[recoveryRanges]bool // ranges in which a voter's copy was equal
 }
 
 func newRecovery(nonce uint32) recovery {
 	return recovery{nonce: nonce, matched: map[Peer]*[recoveryRanges]bool{}}
 }
 
-// hasMatched reports whether all ranges were found equal to a member's copy.
+// hasMatched reports whether a member's copy was equal in all ranges.
 func (r *recovery) hasMatched(peer Peer) bool {
 	ranges := r.matched[peer]
 	return ranges != nil && !slices.Contains(ranges[:], false)
 }
 
-// inRecoveryDelay reports whether rounds may still be under way in which the process
-// before this one has voted.
+// inRecoveryDelay reports whether rounds may still be in progress in which the previous
+// process of this front end has voted.
 func (m *Manager) inRecoveryDelay() bool {
 	return m.nowMS < m.recovery.startedAtMS+m.options.Times.RecoveryDelayMS
 }
 
-// markEqual notes ranges that are equal to a member's copy.
+// markEqual records ranges in which a voter's copy is equal to this one.
 func (m *Manager) markEqual(peer Peer, first, count int, peerCanVote bool) {
 	if m.CanVote() || !peerCanVote || m.inRecoveryDelay() {
 		return
@@ -55,8 +58,9 @@
 	}
 }
 
-// recoverRanges compares the digests of a voter's ranges. Equal ones are noted;
-// for the others, the digests of the level below are requested.
+// recoverRanges compares digests of a member's ranges with those of this copy. It marks
+// the ranges that are equal. For top ranges that differ, it requests the digests of
+// the level below.
 func (m *Manager) recoverRanges(from Peer, msg *message) {
 	content := &msg.exchange.Content
 	if m.CanVote() || msg.nonce != m.recovery.nonce || content.Level >= 2 {
@@ -78,8 +82,8 @@
 	}
 }
 
-// finishRecoveryIfCaughtUp lets this member vote once it has caught up with enough
-// voters, or when a majority has lost its state too.
+// finishRecoveryIfCaughtUp allows this member to vote once it has caught up with enough
+// voters, or if a majority of the members, including this one, has lost its state.
 func (m *Manager) finishRecoveryIfCaughtUp() {
 	if m.inRecoveryDelay() {
 		return
@@ -108,8 +112,9 @@
 	m.persistVoterMark()
 }
 
-// probeForRecovery asks all members whose copy is not known to be equal. That
-// includes members that cannot vote either: it lets them know that this one can't.
+// probeForRecovery probes all members whose copy was not equal in all ranges so far.
+// These include members that cannot vote either: the probe reports to them that this
+// member cannot vote.
 func (m *Manager) probeForRecovery() {
 	for _, peer := range m.members.all {
 		if !m.recovery.hasMatched(peer) {
--- a/internal/lease/requests.go
+++ b/internal/lease/requests.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// RunResult is how a load ended for which a lease was granted.
+// RunResult is the result of a load that was granted a lease.
 type RunResult uint8
 
 // The results.
 const (
-	Completed  RunResult = iota // it ran, with an outcome
-	NeverRan                    // it provably never ran: the lease is released
-	RunUnknown                  // it may have run
+	Completed  RunResult = iota // the load ran, with an outcome
+	NeverRan                    // the load provably never ran: the lease is released
+	RunUnknown                  // the load may have run
 )
 
 // String returns the result's name.
@@ -26,18 +26,18 @@
 	}
 }
 
-// DecisionKind says whether a load may be run, and else why not.
+// DecisionKind says whether a load may be run, and if not, why.
 type DecisionKind uint8
 
 // The kinds of decisions.
 const (
-	Granted          DecisionKind = iota // this front end may run it, once
-	AlreadyCompleted                     // it has run, with the Decision's outcome
-	PossiblyRan                          // it may have run
-	NoQuorum                             // it did not run: no quorum in time
+	Granted          DecisionKind = iota // this front end may run the load once
+	AlreadyCompleted                     // the load has run, with the Decision's outcome
+	PossiblyRan                          // the load may have run
+	NoQuorum                             // the load did not run: no quorum replied in time
 	Conflict                             // the key belongs to a load with another fingerprint
-	Forgotten                            // marked as a retry, and the key is not known
-	RunningElsewhere                     // another request runs it, and did not end in time
+	Forgotten                            // the request is marked as a retry, but the key has no record
+	RunningElsewhere                     // another request runs the load, which did not end in time
 )
 
 // String returns the decision's name.
@@ -62,36 +62,36 @@
 	}
 }
 
-// Decision answers an AcquireRequest.
+// Decision is the result of an AcquireRequest.
 type Decision struct {
 	Ticket    uint64 // of the request
 	Kind      DecisionKind
-	Outcome   []byte // of AlreadyCompleted
+	Outcome   []byte // of the load, with AlreadyCompleted
 	ElapsedMS float64
 }
 
-// operation is a change of one register under way: the acquisition of a lease for
-// a client of this front end, or the release of one that was never used.
+// operation is a change of one register in progress: the acquisition of a lease for a
+// client of this front end, or the release of an unused lease.
 type operation struct {
 	key               Key
-	request           *AcquireRequest // nil: a release
-	releaseGeneration uint32          // of a release
+	request           *AcquireRequest // nil if the operation is a release
+	releaseGeneration uint32          // generation of the lease to release
 	startedAtMS       float64
 	deadlineMS        float64
-	nextActionMS      float64 // when a message is sent again or the next round starts
+	nextActionMS      float64 // when messages are resent or the next round starts
 	round             round
-	decision          DecisionKind // to give once the round's proposal is chosen
+	decision          DecisionKind // returned once the round's proposal is chosen
 	failedRounds      int
-	seenBallot        uint32 // highest ballot number that preempted a round
-	hadQuorum         bool   // at least one round was decided
-	mayBeHeld         bool   // a proposal that this process holds the lease may be chosen
-	heldGeneration    uint32 // of that proposal
+	seenBallot        uint32 // highest ballot number that preempted a round of this operation
+	hadQuorum         bool   // a proposal of this operation was chosen
+	mayBeHeld         bool   // a proposal that grants this process the lease may be chosen
+	heldGeneration    uint32 // generation of that proposal
 	finished          bool
 }
 
-// endMS returns when an operation is given up: a request early where no quorum
-// answers, so that a client on the minority side of a partition gets its answer
-// at once.
+// endMS returns the time at which an operation is given up. A request that no quorum
+// has answered ends before its deadline, so that a client on the minority side of a
+// partition receives its response early.
 func (op *operation) endMS(noQuorumAfterMS float64) float64 {
 	if op.request != nil && !op.hadQuorum {
 		return min(op.deadlineMS, op.startedAtMS+noQuorumAfterMS)
@@ -99,8 +99,8 @@
 	return op.deadlineMS
 }
 
-// acquire starts an operation for a client's request. It may take over a lease
-// that is being released, so that release is cancelled.
+// acquire starts an operation for a client's request. It cancels a release of the same
+// lease, because the request may take over the lease.
 func (m *Manager) acquire(request AcquireRequest) {
 	m.Counters.Requests++
 	m.operations = slices.DeleteFunc(m.operations, func(op *operation) bool {
@@ -128,12 +128,12 @@
 	case NeverRan:
 		r.grantedGeneration = 0
 		m.releaseUnused(r.key, r.value.Generation)
-	case RunUnknown: // as if its owner had gone
+	case RunUnknown: // as if the owner had left
 		r.value.State = MayHaveRun
 	}
 }
 
-// recordOutcome records the outcome of a load and begins to announce it.
+// recordOutcome records the outcome of a load and starts to announce it.
 func (m *Manager) recordOutcome(r *record, outcome []byte) {
 	ended := r.value
 	ended.State = Ended
@@ -144,10 +144,10 @@
 	m.persist(r, func() {})
 }
 
-// releaseUnused begins to release a lease that was never used, unless another
-// request through this front end is under way, which may take it over. At most one
-// operation works on a lease of this process at a time: a round that releases what
-// a concurrent round has just been granted would let two processes run the load.
+// releaseUnused starts to release an unused lease, unless another request for the key
+// is in progress at this front end, which may take over the lease. At most one
+// operation of this process changes a lease at a time: if a round released a lease that
+// a concurrent round was just granted, two processes could run the load.
 func (m *Manager) releaseUnused(key Key, generation uint32) {
 	for _, op := range m.operations {
 		if op.request != nil && op.key == key && !op.finished {
@@ -165,8 +165,8 @@
 	})
 }
 
-// expire ends an operation whose time is up. What its rounds may have left in the
-// register is released: nobody will use it.
+// expire ends an operation that has reached its end time. If its rounds may have
+// acquired a lease, the lease is released, as no load will use it.
 func (m *Manager) expire(op *operation) {
 	switch {
 	case op.request == nil:
@@ -181,7 +181,7 @@
 	}
 }
 
-// decideEnded answers a request for a load that has run.
+// decideEnded decides a request for a load that has run.
 func (m *Manager) decideEnded(op *operation, ended Value) {
 	kind := AlreadyCompleted
 	if ended.Fingerprint != op.request.Fingerprint {
@@ -190,7 +190,7 @@
 	m.decide(op, kind, ended.Outcome)
 }
 
-// decide answers a request and finishes its operation.
+// decide returns the decision on a request and finishes its operation.
 func (m *Manager) decide(op *operation, kind DecisionKind, outcome []byte) {
 	op.finished = true
 	m.Counters.countDecision(kind)
--- a/internal/lease/retention.go
+++ b/internal/lease/retention.go
@@ -6,15 +6,15 @@
 type recordTable struct {
 	byKey       map[Key]*record
 	tree        *antientropy.Tree[*record]
-	oldestFirst []*record // by when they were added, which is about their age
+	oldestFirst []*record // by time of insertion, which approximates their age
 }
 
 func newRecordTable() recordTable {
 	return recordTable{byKey: map[Key]*record{}, tree: antientropy.New[*record]()}
 }
 
-// recordOf returns the record of a key. It adds an empty one where there is none,
-// and evicts the oldest beyond Options.MaxLeases.
+// recordOf returns the record of a key. If there is none, it adds an empty record, and
+// evicts the oldest records in excess of Options.MaxLeases.
 func (m *Manager) recordOf(key Key) *record {
 	r := m.records.byKey[key]
 	if r != nil {
--- a/internal/lease/safety_test.go
+++ b/internal/lease/safety_test.go
@@ -6,19 +6,18 @@
 	"testing"
 )
 
-// violation is a broken rule of a simulated history.
+// violation is a rule that a simulated run has broken.
 type violation struct {
-	safety bool // else the load has no answer, though a majority was up for long
+	safety bool // false: the load has no response, although a majority was up for long enough
 	text   string
 }
 
-// simulateFaults simulates loads and faults, and returns the rules that were broken:
-// loads that ran twice, answers that differ from what ran, and loads without an
-// answer.
+// simulateFaults simulates loads and faults, and returns the violations: loads that ran
+// twice, responses that do not match the run, and loads without a response.
 func simulateFaults(seed uint64, size, loads int, durable bool) (f *fleet, violations []violation) {
 	const faultPeriodMS = 20_000
 	f = newFleet(seed, size, durable, Options{})
-	f.Run(10_000) // until members without state vote
+	f.Run(10_000) // until the members, which start without state, vote
 	f.lossRate = 0.1 * f.rng.Float64()
 	endMS := f.NowMS + faultPeriodMS
 	var clients []*client
@@ -39,8 +38,8 @@
 	return f, violations
 }
 
-// injectMinorityFaults kills, pauses or partitions some front ends for a while, so that
-// a majority stays healthy.
+// injectMinorityFaults kills, pauses or partitions some front ends for a time. A
+// majority stays healthy.
 func (f *fleet) injectMinorityFaults() {
 	size := len(f.managers)
 	minority := (size - 1) / 2
@@ -85,39 +84,42 @@
 	}
 }
 
-// check returns the rule that was broken for a client's load, or nil.
+// check returns the violation for a client's load, or nil.
 func (f *fleet) check(c *client) *violation {
 	runs := f.runs[c.key]
 	switch {
 	case len(runs) > 1:
 		return &violation{safety: true, text: fmt.Sprintf("load %x ran by %v", c.key[:4], runs)}
 	case c.response == "":
-		return &violation{text: fmt.Sprintf("load %x has no answer after %d attempts, rejected %d times", c.key[:4], c.attempts, c.rejected)}
+		return &violation{text: fmt.Sprintf("load %x has no response after %d attempts, rejected %d times",
+			c.key[:4], c.attempts, c.rejected)}
 	case c.response != "may have run" && (len(runs) != 1 || c.response != "of "+runs[0]):
-		return &violation{safety: true, text: fmt.Sprintf("load %x: answer %q, ran by %v", c.key[:4], c.response, runs)}
+		text := fmt.Sprintf("load %x: response %q, ran by %v", c.key[:4], c.response, runs)
+		return &violation{safety: true, text: text}
 	default:
 		return nil
 	}
 }
 
-// TestNoLoadRunsTwice checks that loads whose clients retry through other front
-// ends, while front ends are killed, paused and partitioned, run at most once and
-// have one answer each.
+// TestNoLoadRunsTwice checks that each load runs at most once and has one response,
+// while its client retries through other front ends and front ends are killed, paused
+// and partitioned.
 func TestNoLoadRunsTwice(t *testing.T) {
 	var grantMS []float64
 	for seed := uint64(1); seed <= 20; seed++ {
 		f, violations := simulateFaults(seed, []int{3, 5, 7, 16}[seed%4], 600, seed%2 == 0)
 		grantMS = append(grantMS, f.grantMS...)
 		if len(violations) > 0 {
-			t.Errorf("seed %d: %d rules broken, first: %s", seed, len(violations), violations[0].text)
+			t.Errorf("seed %d: %d violations, the first: %s", seed, len(violations), violations[0].text)
 		}
 	}
 	slices.Sort(grantMS)
-	t.Logf("%d loads granted, in p50 %.0f ms, p99 %.0f ms", len(grantMS), grantMS[len(grantMS)/2], grantMS[len(grantMS)*99/100])
+	p50, p99 := grantMS[len(grantMS)/2], grantMS[len(grantMS)*99/100]
+	t.Logf("%d leases granted, latency p50 %.0f ms, p99 %.0f ms", len(grantMS), p50, p99)
 }
 
-// TestSafetyOfThreeFrontEnds checks in the smallest fleets, without disks, that no
-// load runs twice and that each answer is that of the run.
+// TestSafetyOfThreeFrontEnds checks in the smallest fleets, without disks, that no load
+// runs twice and that each response matches the run.
 func TestSafetyOfThreeFrontEnds(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -131,9 +133,9 @@
 	}
 }
 
-// simulateLostVote simulates a front end that has voted for a lease that no other
-// remaining member knows of, and starts again without its state. It returns the
-// decisions before and after.
+// simulateLostVote simulates a front end that restarts without its state after it has
+// voted for a lease. No other running member has a record of the lease. It returns the
+// decisions on requests before and after the restart.
 func simulateLostVote(t *testing.T) (f *fleet, before, after Decision) {
 	t.Helper()
 	f = newFleet(5, 3, false, Options{})
@@ -151,7 +153,7 @@
 }
 
 // TestNoVoteWithoutState checks that a front end that lost its votes does not vote
-// again, or the load would be granted twice.
+// again. Otherwise, the lease would be granted twice.
 func TestNoVoteWithoutState(t *testing.T) {
 	f, before, after := simulateLostVote(t)
 	wasGranted := func(d Decision) bool { return d.Ticket != 0 && d.Kind == Granted }
@@ -160,27 +162,27 @@
 	}
 }
 
-// TestNoGrantAfterLostVote checks the same history in detail: the first
-// request is granted, the second one is answered and not granted, and the front
-// end that lost its votes does not vote.
+// TestNoGrantAfterLostVote checks the run of simulateLostVote in detail: the first
+// request is granted, the second request is decided but not granted, and the front end
+// that lost its votes does not vote.
 func TestNoGrantAfterLostVote(t *testing.T) {
 	f, before, after := simulateLostVote(t)
 	if before.Ticket != 1 || before.Kind != Granted {
-		t.Fatalf("before: %+v", before)
+		t.Fatalf("before the restart: %+v, want a grant", before)
 	}
 	if after.Ticket != 2 || after.Kind == Granted {
-		t.Errorf("after: %+v", after)
+		t.Errorf("after the restart: %+v, want a decision that grants nothing", after)
 	}
 	if f.managers[1].CanVote() {
 		t.Error("a front end without state votes")
 	}
 }
 
-// TestDelayedProposal checks that a recovered acceptor keeps the promises of its
-// earlier process. It promises a round to one proposer and starts again without
-// its state; its new vote grants the lease to another; then the first proposer's
-// proposal, sent long ago, arrives. What was chosen must stand, or the first one
-// takes its proposal for an unnoticed lease of its own.
+// TestDelayedProposal checks that a recovered acceptor keeps the promises of its previous
+// process. The acceptor promises a round to one proposer and restarts without its state.
+// Its new vote grants the lease to another proposer. Then the first proposer's proposal,
+// which was delayed, arrives. The chosen value must not be overridden: otherwise the
+// first proposer would regard the lease as its own, granted unnoticed.
 func TestDelayedProposal(t *testing.T) {
 	f := newFleet(8, 5, false, Options{})
 	f.Run(10_000)
@@ -192,7 +194,7 @@
 			delayed = append(delayed, msg)
 			return true
 		}
-		return from == 0 && to > 2 // only 1 and 2 promise
+		return from == 0 && to > 2 // only front ends 1 and 2 promise
 	}
 	f.request(0, request, 400, 500)
 	f.setPartition(1, 0, 0, 0, 0)
@@ -200,11 +202,11 @@
 	f.start(1)
 	f.Run(10_000)
 	if !f.managers[1].CanVote() || len(delayed) == 0 {
-		t.Fatalf("1 votes: %v; %d proposals are delayed", f.managers[1].CanVote(), len(delayed))
+		t.Fatalf("front end 1 votes: %v; %d proposals are delayed", f.managers[1].CanVote(), len(delayed))
 	}
-	f.intercept = func(from, to int, _ []byte) bool { return from == 2 || to == 2 } // who promised too
+	f.intercept = func(from, to int, _ []byte) bool { return from == 2 || to == 2 } // 2 has promised too
 	if d := f.request(3, request, 2000, 2100); d.Ticket == 0 || d.Kind != Granted {
-		t.Fatalf("%+v", d)
+		t.Fatalf("request to front end 3: %+v, want a grant", d)
 	}
 	f.intercept = nil
 	for _, to := range []int{1, 2, 3, 4} {
--- a/internal/lease/wire.go
+++ b/internal/lease/wire.go
@@ -7,27 +7,27 @@
 	"dewhill/internal/pbuf"
 )
 
-// verb is what a message is for.
+// verb is the type of a message.
 type verb uint8
 
 // The verbs. Their numbers are part of the wire form.
 const (
-	verbPrepare       verb = 1 + iota // begins a round
-	verbPromise                       // answers verbPrepare: the accepted value, or a rejection
+	verbPrepare       verb = 1 + iota // starts a round
+	verbPromise                       // reply to verbPrepare: the accepted value, or a rejection
 	verbAccept                        // proposes a value
-	verbAccepted                      // answers verbAccept
+	verbAccepted                      // reply to verbAccept
 	verbOutcome                       // announces an outcome
-	verbOutcomeAck                    // answers verbOutcome
-	verbProbe                         // the digest of all records
-	verbMatch                         // answers verbProbe: it is equal
+	verbOutcomeAck                    // reply to verbOutcome
+	verbProbe                         // sends the digest of all records
+	verbMatch                         // reply to verbProbe: the digests are equal
 	verbRangeRequest                  // requests the digests of a range's children
-	verbRangeSums                     // these digests; also answers verbProbe where copies differ
-	verbRangeItems                    // what is held in a range
+	verbRangeSums                     // sends these digests; also replies to verbProbe if copies differ
+	verbRangeItems                    // lists the items in a range
 	verbRecordRequest                 // requests records by the hashes of their keys
-	verbRecords                       // records
+	verbRecords                       // sends records
 )
 
-// hasKey reports whether messages with the verb are about one key.
+// hasKey reports whether messages with the verb have a key.
 func (v verb) hasKey() bool { return v <= verbOutcomeAck }
 
 // hasBallot reports whether messages with the verb belong to a round.
@@ -38,19 +38,21 @@
 //	message Message {
 //	  uint32 verb = 1; uint32 nonce = 2; bool can_vote = 3; fixed64 sender_id = 4;
 //	  bytes key = 5; Ballot ballot = 6, 7;
-//	  bool rejected = 8;        // a later round has begun: promised
+//	  bool rejected = 8;        // a later round, promised, has begun
 //	  Ballot promised = 9, 10; Ballot accepted = 11, 12; Value value = 13;
 //	  antientropy.Exchange exchange = 14 to 19;
 //	  fixed64 digest = 20; repeated Record records = 21;
 //	}
 //	message Value {
-//	  uint32 generation = 1; uint32 state = 2; fixed64 owner = 3; fixed64 fingerprint = 4; bytes outcome = 5;
+//	  uint32 generation = 1; uint32 state = 2; fixed64 owner = 3;
+//	  fixed64 fingerprint = 4; bytes outcome = 5;
 //	}
 //	message Record {
-//	  bytes key = 1; Ballot accepted = 2, 3; Value value = 4; uint32 age_seconds = 5; Ballot promised = 6, 7;
+//	  bytes key = 1; Ballot accepted = 2, 3; Value value = 4;
+//	  uint32 age_seconds = 5; Ballot promised = 6, 7;
 //	}
 //
-// A Ballot takes two fields: uint32 number; fixed64 proposer_id.
+// A Ballot has two fields: uint32 number; fixed64 proposer_id.
 type message struct {
 	verb     verb
 	nonce    uint32
@@ -67,7 +69,7 @@
 	records  []recordCopy
 }
 
-// recordCopy is a record in a message or on the disk.
+// recordCopy is a record in a message or on disk.
 type recordCopy struct {
 	key        Key
 	accepted   Ballot
@@ -76,7 +78,7 @@
 	ageSeconds uint32
 }
 
-// copyOf returns a record as it is sent and persisted now.
+// copyOf returns a copy of a record for a message or the disk, with its current age.
 func (m *Manager) copyOf(r *record) *recordCopy {
 	return &recordCopy{
 		key:        r.key,
@@ -88,10 +90,10 @@
 }
 
 const (
-	// MaxOutcomeBytes bounds the outcome of a load. Longer ones are cut.
+	// MaxOutcomeBytes bounds the outcome of a load. Longer outcomes are truncated.
 	MaxOutcomeBytes = 96
-	// maxBallotNumber and maxGeneration bound the numbers that a message may
-	// name, so that there are always higher ones left.
+	// maxBallotNumber and maxGeneration bound the numbers in a message, so that
+	// higher numbers always remain available.
 	maxBallotNumber = 1 << 30
 	maxGeneration   = 1 << 30
 	maxAgeSeconds   = 1 << 31
@@ -117,7 +119,7 @@
 	fieldRecord           protowire.Number = 21
 )
 
-// append writes all but the records.
+// append appends all fields except the records.
 func (m *message) append(b []byte) []byte {
 	b = pbuf.AppendUint(b, fieldVerb, uint64(m.verb))
 	b = pbuf.AppendUint(b, fieldNonce, uint64(m.nonce))
@@ -138,7 +140,7 @@
 	return b
 }
 
-// decode reads a message. Its error is pbuf.ErrMalformed.
+// decode decodes a message. Its error is pbuf.ErrMalformed.
 func decode(b []byte) (m message, err error) {
 	err = pbuf.Decode(b, m.decodeField, m.validate)
 	return m, err
@@ -184,7 +186,7 @@
 	return err
 }
 
-// validate checks what fields must be there and how they fit together.
+// validate checks that all fields that the verb requires are present and consistent.
 func (m *message) validate() error {
 	content := &m.exchange.Content
 	switch {
@@ -201,7 +203,7 @@
 	}
 }
 
-// append writes a ballot in two fields, the first of which has the given number.
+// append appends a ballot as two fields. The first field has the given number.
 func (b Ballot) append(encoded []byte, first protowire.Number) []byte {
 	if b.Number == 0 {
 		return encoded
@@ -278,7 +280,7 @@
 	recordPromisedProposer protowire.Number = 7
 )
 
-// append writes a record as a field of a message.
+// append appends a record as a field of a message.
 func (c *recordCopy) append(b []byte) []byte {
 	body := pbuf.AppendBytes(nil, recordKey, c.key[:])
 	body = c.accepted.append(body, recordAccepted)
--- a/internal/lease/wire_test.go
+++ b/internal/lease/wire_test.go
@@ -12,8 +12,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// TestMalformedMessages checks that messages decode as they were encoded, and that
-// malformed ones break nothing.
+// TestMalformedMessages checks that messages are decoded as they were encoded, and that
+// a manager handles malformed messages without a panic.
 func TestMalformedMessages(t *testing.T) {
 	value := Value{Generation: 3, State: Ended, Owner: 9, Fingerprint: 8, Outcome: []byte("x")}
 	promise := message{
@@ -22,13 +22,13 @@
 	}
 	encoded := promise.append(nil)
 	if got, err := decode(encoded); err != nil || fmt.Sprint(got) != fmt.Sprint(promise) {
-		t.Fatalf("%v: %+v, want %+v", err, got, promise)
+		t.Fatalf("decoded promise: %+v, %v, want %+v", got, err, promise)
 	}
 	header := &message{verb: verbRecords, senderID: 5}
 	record := &recordCopy{key: testKey(2), accepted: Ballot{1, 2}, value: value, ageSeconds: 9, promised: Ballot{3, 4}}
 	records := record.append(header.append(nil))
 	if got, err := decode(records); err != nil || len(got.records) != 1 || got.records[0].promised != (Ballot{3, 4}) {
-		t.Fatalf("%v: %+v", err, got)
+		t.Fatalf("decoded records: %+v, %v, want one record that promises {3 4}", got, err)
 	}
 	proposal := (&message{verb: verbAccept, senderID: 5, key: testKey(3), ballot: Ballot{3, 4}, value: value}).append(nil)
 	rapid.Check(t, func(t *rapid.T) {
@@ -41,25 +41,25 @@
 	})
 }
 
-// TestNonceBound checks that a nonce is read in full: a larger number than its 32
-// bits is a malformed message, not another nonce.
+// TestNonceBound checks that a message is malformed if its nonce exceeds 32 bits. The
+// nonce must not be truncated to another nonce.
 func TestNonceBound(t *testing.T) {
 	const largest = 1<<32 - 1
 	probe := (&message{verb: verbProbe, senderID: 5}).append(nil)
 	if got, err := decode(pbuf.AppendUint(probe, fieldNonce, largest)); err != nil || got.nonce != largest {
-		t.Errorf("the largest nonce: %v, %+v", err, got)
+		t.Errorf("message with the largest nonce: %+v, %v", got, err)
 	}
 	tooLarge := pbuf.AppendUint(probe, fieldNonce, largest+1)
 	if got, err := decode(tooLarge); !errors.Is(err, pbuf.ErrMalformed) {
-		t.Errorf("a larger nonce: %v, %+v", err, got)
+		t.Errorf("message with a larger nonce: %+v, %v, want %v", got, err, pbuf.ErrMalformed)
 	}
 	m := New(Options{ProcessID: 1}, 1)
 	m.Apply(0, Start{})
 	if effects := m.Apply(1, MessageReceived{Peer{Number: 1}, tooLarge}); len(effects.Sends) > 0 {
-		t.Errorf("a malformed message is answered: %+v", effects.Sends)
+		t.Errorf("replies to a malformed message: %+v", effects.Sends)
 	}
 	if m.Counters.MalformedMessages != 1 {
-		t.Errorf("%d malformed messages counted", m.Counters.MalformedMessages)
+		t.Errorf("%d malformed messages counted, want 1", m.Counters.MalformedMessages)
 	}
 }
 
@@ -91,14 +91,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			probe := message{verb: verbProbe, senderID: 5}
 			if _, err := decode(append(probe.append(nil), c.field...)); !errors.Is(err, c.want) {
-				t.Errorf("%x: %v, want %v", c.field, err, c.want)
+				t.Errorf("message with field %x: error %v, want %v", c.field, err, c.want)
 			}
 		})
 	}
 }
 
-// TestRequiredFields checks that a message is malformed for want of a field, or
-// because its fields do not fit together.
+// TestRequiredFields checks that a message is malformed if a required field is missing,
+// or if its fields are inconsistent.
 func TestRequiredFields(t *testing.T) {
 	ofRange := func(v verb, level, index int, sums []uint32) message {
 		content := antientropy.RangeContent{Range: antientropy.Range{Level: level, Index: index}, Sums: sums}
@@ -118,7 +118,7 @@
 		"digests of a range without children": ofRange(verbRangeSums, lowest, 1, sums),
 	} {
 		if _, err := decode(m.append(nil)); !errors.Is(err, pbuf.ErrMalformed) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want %v", name, err, pbuf.ErrMalformed)
 		}
 	}
 }
