--- a/internal/membership/benchmark_test.go
+++ b/internal/membership/benchmark_test.go
@@ -10,7 +10,7 @@
 func startFullView(size int) *View {
 	v := startView(size)
 	for i := 1; i < size; i++ {
-		v.Apply(1, sender{i, 1, 5, size}.gossips())
+		v.Apply(1, sender{i, 1, 5, size}.gossipMessage())
 	}
 	return v
 }
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -56,7 +56,7 @@
 // TestMalformedMessages checks that cut and garbled messages are errors or
 // messages within bounds, and damage no view.
 func TestMalformedMessages(t *testing.T) {
-	valid := string(sender{1, 2, 9, 6}.gossips(
+	valid := string(sender{1, 2, 9, 6}.gossipMessage(
 		update{number: 2, incarnation: 3, state: Dead},
 		update{number: 5, incarnation: 1, state: Suspect, reporter: 2}).Message)
 	withBlock, _ := appendRangeBlock([]byte(valid), rangeBlock{rangeIndex: 3, incarnation: 2, bits: []byte{0x1b}}, testMaxMessageBytes)
--- a/internal/membership/convergence.go
+++ b/internal/membership/convergence.go
@@ -51,8 +51,8 @@
 	return digest
 }
 
-// noteDigest notes whether a message's sender has the same view.
-func (v *View) noteDigest(sender *entry, m *message) {
+// recordDigest notes whether a message's sender has the same view.
+func (v *View) recordDigest(sender *entry, m *message) {
 	if !v.hasSameList(m) {
 		return
 	}
--- a/internal/membership/damper.go
+++ b/internal/membership/damper.go
@@ -64,12 +64,12 @@
 	for i := range d.flaps {
 		flap := &d.flaps[i]
 		state := v.State(i)
-		d.noteAlive(flap, nowMS, state == Alive || state == Suspect)
+		d.recordAlive(flap, nowMS, state == Alive || state == Suspect)
 		include := d.included[i]
 		if !quorum {
 			include = true
 		} else if converged {
-			include = d.wantsIncluded(flap, nowMS, include)
+			include = d.shouldInclude(flap, nowMS, include)
 		}
 		if include != d.included[i] {
 			d.included[i] = include
@@ -79,8 +79,8 @@
 	return changed
 }
 
-// noteAlive notes whether a member is alive, and a penalty if it has failed.
-func (d *Damper) noteAlive(flap *flapState, nowMS float64, alive bool) {
+// recordAlive notes whether a member is alive, and a penalty if it has failed.
+func (d *Damper) recordAlive(flap *flapState, nowMS float64, alive bool) {
 	if alive == flap.alive {
 		return
 	}
@@ -92,8 +92,8 @@
 	flap.sinceMS = nowMS
 }
 
-// wantsIncluded reports whether a member is to be included, given that it is now.
-func (d *Damper) wantsIncluded(flap *flapState, nowMS float64, included bool) bool {
+// shouldInclude reports whether a member is to be included, given that it is now.
+func (d *Damper) shouldInclude(flap *flapState, nowMS float64, included bool) bool {
 	if !flap.alive {
 		return included && nowMS < flap.sinceMS+d.MinStableMS
 	}
--- a/internal/membership/encode.go
+++ b/internal/membership/encode.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxFieldHeadBytes is an upper bound for the tag and the length of a field.
-	maxFieldHeadBytes = 3
+	// maxFieldHeaderBytes is an upper bound for the tag and the length of a field.
+	maxFieldHeaderBytes = 3
 	// updatesBufferBytes is more than the updates of a datagram take.
 	updatesBufferBytes = 512
 	rangeDigestBytes   = 2
@@ -49,7 +49,7 @@
 // appendUpdates writes updates of listed members, as many from the front as fit
 // into maxBytes with what is there, and returns how many.
 func appendUpdates(b []byte, updates []update, maxBytes int) (extended []byte, written int) {
-	available := maxBytes - len(b) - maxFieldHeadBytes
+	available := maxBytes - len(b) - maxFieldHeaderBytes
 	if available <= 0 {
 		return b, 0
 	}
@@ -88,7 +88,7 @@
 	var body []byte
 	for _, n := range names {
 		longer := protowire.AppendString(protowire.AppendVarint(body, uint64(n.number)), n.name)
-		if len(b)+maxFieldHeadBytes+len(longer) > maxBytes {
+		if len(b)+maxFieldHeaderBytes+len(longer) > maxBytes {
 			break
 		}
 		body = longer
@@ -126,7 +126,7 @@
 
 // appendFieldIfFits writes a field of bytes, if it fits.
 func appendFieldIfFits(b []byte, field protowire.Number, body []byte, maxBytes int) (extended []byte, fits bool) {
-	if len(b)+maxFieldHeadBytes+len(body) > maxBytes {
+	if len(b)+maxFieldHeaderBytes+len(body) > maxBytes {
 		return b, false
 	}
 	return pbuf.AppendBytes(b, field, body), true
--- a/internal/membership/forget.go
+++ b/internal/membership/forget.go
@@ -22,8 +22,8 @@
 
 // covers reports whether a name was forgotten with this incarnation or a later one.
 func (t *tombstones) covers(name string, incarnation uint32) bool {
-	forgottenAt, found := t.incarnations[name]
-	return found && incarnation <= forgottenAt
+	forgottenIncarnation, found := t.incarnations[name]
+	return found && incarnation <= forgottenIncarnation
 }
 
 // add remembers a member that is being forgotten.
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -13,7 +13,7 @@
 	gossipReserve      = 10.0 // datagrams below which updates only travel with probes
 	refillFraction     = 0.98 // of the rate, so that bursts are compensated within an hour
 	gossipFanout       = 3    // datagrams that spread new updates at once
-	gatherMS           = 30.0 // for which a new update waits for others
+	gossipBatchMS      = 30.0 // for which a new update waits for others
 	recentPeriods      = 3    // for which a member counts as received from recently
 	bulkUpdateCount    = 40   // queued updates above which ranges are sent as a whole
 	bulkPingsPerPeriod = 4    // pings a period that spread many updates
@@ -68,7 +68,7 @@
 		v.queue.updates = append(v.queue.updates, e)
 	}
 	e.updateTransmits = bits.Len(uint(len(v.ring))) + 1
-	v.queue.flushAtMS = min(v.queue.flushAtMS, v.nowMS+gatherMS)
+	v.queue.flushAtMS = min(v.queue.flushAtMS, v.nowMS+gossipBatchMS)
 }
 
 // flushGossip sends new updates to a few members at once, within the budget.
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -21,7 +21,7 @@
 		}
 		for _, n := range m.names {
 			if v.isListed(n.number) && v.ring[n.number] != v.self && v.ring[n.number].Name == "" {
-				v.learnName(v.ring[n.number], n.name, nameTransmitsFromGossip)
+				v.setName(v.ring[n.number], n.name, nameTransmitsFromGossip)
 			}
 		}
 	} else {
@@ -130,8 +130,8 @@
 	e.liveIndex = -1
 }
 
-// learnName stores the name of a listed member, and passes it on so many times.
-func (v *View) learnName(e *entry, name string, transmits int) {
+// setName stores the name of a listed member, and passes it on so many times.
+func (v *View) setName(e *entry, name string, transmits int) {
 	if e.Number < 0 || name == "" || e.Name == name {
 		return
 	}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -44,14 +44,14 @@
 func (p *probe) isOnRing() bool { return p.kind == ringProbe || p.kind == sweepProbe }
 
 const (
-	directPings         = 2   // of a probe
-	directPingsIfLossy  = 4   // of a probe on a lossy network
-	indirectRoundTrips  = 1.6 // probe time-outs that an indirect ping takes
-	maxSweepWidth       = 64  // ring members probed at once
-	sweepFreshPeriods   = 3   // a sweep skips members received from within these
-	nameProbeInterval   = 4   // periods between probes for members without a name
-	massSuspectDivisor  = 20  // one suspect of so many live members is a mass failure
-	minMassSuspectCount = 3
+	directPings          = 2   // of a probe
+	directPingsIfLossy   = 4   // of a probe on a lossy network
+	indirectPingTimeouts = 1.6 // probe time-outs that an indirect ping takes
+	maxSweepWidth        = 64  // ring members probed at once
+	sweepFreshPeriods    = 3   // a sweep skips members received from within these
+	nameProbeInterval    = 4   // periods between probes for members without a name
+	massSuspectDivisor   = 20  // one suspect of so many live members is a mass failure
+	minMassSuspectCount  = 3
 )
 
 // probeNextMember begins the probe of a period. Every other period it goes to the
@@ -173,7 +173,7 @@
 		}
 		return false
 	case p.attempts == pings && p.usesHelpers() && !v.inMassFailure():
-		p.nextStepMS = v.nowMS + v.health.scale(indirectRoundTrips*v.options.Times.ProbeTimeoutMS)
+		p.nextStepMS = v.nowMS + v.health.scale(indirectPingTimeouts*v.options.Times.ProbeTimeoutMS)
 		v.requestIndirectPings(p)
 		v.sendTo(e, message{kind: ping, seq: p.seq})
 		return false
--- a/internal/membership/rangesync.go
+++ b/internal/membership/rangesync.go
@@ -110,7 +110,7 @@
 	isUnknown := func(e *entry) bool { return e.State == Unknown }
 	rest = slices.DeleteFunc(slices.Clone(v.ring[low:high]), isUnknown)
 	for len(rest) >= minBlockMembers && len(blocks) < maxBlocksPerRange {
-		incarnation, members := commonestIncarnation(rest)
+		incarnation, members := mostCommonIncarnation(rest)
 		if members < minBlockMembers {
 			break
 		}
@@ -127,9 +127,9 @@
 	return blocks, rest
 }
 
-// commonestIncarnation returns the incarnation that most members have, and how
+// mostCommonIncarnation returns the incarnation that most members have, and how
 // many. Ranges are short enough to count pairwise.
-func commonestIncarnation(members []*entry) (incarnation uint32, count int) {
+func mostCommonIncarnation(members []*entry) (incarnation uint32, count int) {
 	for i, e := range members {
 		if i > 0 && e.Incarnation == members[i-1].Incarnation {
 			continue
@@ -156,7 +156,7 @@
 		rangeIndex := (from + k) % rangeCount
 		low, high := v.rangeBounds(rangeIndex)
 		members := v.ring[low:high]
-		common := weightiestState(members)
+		common := heaviestState(members)
 		if common == nil {
 			continue
 		}
@@ -180,9 +180,9 @@
 	}
 }
 
-// weightiestState returns a member with the incarnation and state whose queued
+// heaviestState returns a member with the incarnation and state whose queued
 // updates weigh most; nil: they are not worth a block.
-func weightiestState(members []*entry) *entry {
+func heaviestState(members []*entry) *entry {
 	var best *entry
 	bestWeight := minUniformWeight - 1
 	for i, e := range members {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -34,9 +34,9 @@
 	if sender == nil || sender == v.self {
 		return
 	}
-	v.noteSender(sender, &m)
+	v.updateSender(sender, &m)
 	v.mergeMessage(&m)
-	v.noteDigest(sender, &m)
+	v.recordDigest(sender, &m)
 	v.handleKind(sender, &m)
 }
 
@@ -106,24 +106,24 @@
 
 // admitSender adds an unlisted sender that is not in the view.
 func (v *View) admitSender(addr netip.AddrPort, m *message) *entry {
-	forgottenAt := v.tombstones.incarnations[m.name]
-	if m.incarnation > forgottenAt {
+	forgottenIncarnation := v.tombstones.incarnations[m.name]
+	if m.incarnation > forgottenIncarnation {
 		return v.join(m.name, addr, m.incarnation)
 	}
 	// It has returned under the incarnation that it was forgotten with, or an older
 	// one: it is dead until it learns so and begins a new one.
-	e := v.join(m.name, addr, forgottenAt+1)
+	e := v.join(m.name, addr, forgottenIncarnation+1)
 	if e != nil {
-		v.setState(e, forgottenAt, Dead, 0)
+		v.setState(e, forgottenIncarnation, Dead, 0)
 	}
 	return e
 }
 
-// noteSender learns what a datagram proves about its sender.
-func (v *View) noteSender(e *entry, m *message) {
+// updateSender learns what a datagram proves about its sender.
+func (v *View) updateSender(e *entry, m *message) {
 	e.lastReceivedMS = v.nowMS
 	v.recentSenders.add(e)
-	v.learnName(e, m.name, nameTransmitsFromOwner)
+	v.setName(e, m.name, nameTransmitsFromOwner)
 	switch {
 	case m.incarnation > e.Incarnation:
 		v.setState(e, m.incarnation, Alive, 0)
--- a/internal/membership/reconnect.go
+++ b/internal/membership/reconnect.go
@@ -1,8 +1,8 @@
 package membership
 
 const (
-	// unknownPerPeriod is how many unknown members are contacted a period.
-	unknownPerPeriod = 2
+	// unknownContactsPerPeriod is how many unknown members are contacted a period.
+	unknownContactsPerPeriod = 2
 	// maxReconnectDraws bounds the draws for a member that is not live; the first
 	// unknownFirstDraws of them accept unknown members only, while there are any.
 	maxReconnectDraws = 64
@@ -17,7 +17,7 @@
 		v.nextReconnectMS = v.nowMS + v.options.Times.ReconnectIntervalMS
 		v.reconnect()
 	}
-	for range unknownPerPeriod {
+	for range unknownContactsPerPeriod {
 		if v.stateCounts[Unknown] > 0 && v.budget.hasProbeReserve() {
 			v.reconnect()
 		}
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -74,11 +74,11 @@
 // isReachable reports whether the receiver is listed and held alive, or a recent
 // sender.
 func (v *View) isReachable(number int) bool {
-	return number >= 0 && (v.isHeldAlive(number) || v.isRecent(v.ring[number]))
+	return number >= 0 && (v.isAlive(number) || v.isRecent(v.ring[number]))
 }
 
-// isHeldAlive reports whether a number is of another member that is held alive.
-func (v *View) isHeldAlive(number int) bool {
+// isAlive reports whether a number is of another member that is held alive.
+func (v *View) isAlive(number int) bool {
 	return number >= 0 && v.ring[number].isLive() && v.ring[number].State == Alive
 }
 
@@ -156,7 +156,7 @@
 		names := v.namesFrom(int(out.namesFrom)-1, d.maxBytes/4)
 		d.bytes, _ = appendNames(d.bytes, names, d.maxBytes)
 	}
-	if len(v.queue.names) == 0 || !v.isHeldAlive(out.number) { // sent to a dead member, a name would be lost
+	if len(v.queue.names) == 0 || !v.isAlive(out.number) { // sent to a dead member, a name would be lost
 		return
 	}
 	var names []memberName
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -36,8 +36,8 @@
 	listSize    int
 }
 
-// gossips returns a message of the sender that carries updates.
-func (s sender) gossips(updates ...update) MessageReceived {
+// gossipMessage returns a message of the sender that carries updates.
+func (s sender) gossipMessage(updates ...update) MessageReceived {
 	m := message{kind: gossip, incarnation: s.incarnation, bootID: s.bootID, name: fmt.Sprint("n", s.number),
 		listSize: uint32(s.listSize)}
 	b, _ := appendUpdates(m.append(nil), updates, 1<<12)
@@ -79,7 +79,7 @@
 				bootID:      7,
 				listSize:    size,
 			}
-			messages = append(messages, from.gossips(rapid.SliceOfN(updateGenerator(size), 0, 5).Draw(t, "updates")...))
+			messages = append(messages, from.gossipMessage(rapid.SliceOfN(updateGenerator(size), 0, 5).Draw(t, "updates")...))
 		}
 		duplicates := messages[:rapid.IntRange(0, len(messages)).Draw(t, "duplicates")]
 		reordered := rapid.Permutation(slices.Concat(messages, duplicates)).Draw(t, "order")
@@ -131,18 +131,18 @@
 		bootID:      uint32(rapid.IntRange(1, 2).Draw(t, "boot ID")),
 		listSize:    size + rapid.IntRange(0, 1).Draw(t, "other list"),
 	}
-	return from.gossips(rapid.SliceOfN(updateGenerator(size), 0, 4).Draw(t, "updates")...)
+	return from.gossipMessage(rapid.SliceOfN(updateGenerator(size), 0, 4).Draw(t, "updates")...)
 }
 
 // TestRefutation checks that an update on this front end is refuted by a larger
 // incarnation, and that numbers of another list name nobody.
 func TestRefutation(t *testing.T) {
 	v := startView(4)
-	v.Apply(1, sender{1, 1, 5, 4}.gossips(update{number: 0, incarnation: 8, state: Dead}))
+	v.Apply(1, sender{1, 1, 5, 4}.gossipMessage(update{number: 0, incarnation: 8, state: Dead}))
 	if v.Incarnation() != 9 {
 		t.Errorf("incarnation %d after being declared dead at 8", v.Incarnation())
 	}
-	v.Apply(2, sender{1, 1, 5, 5}.gossips(
+	v.Apply(2, sender{1, 1, 5, 5}.gossipMessage(
 		update{number: 2, incarnation: 3, state: Alive},
 		update{number: 0, incarnation: 20, state: Dead}))
 	if v.State(2) != Unknown || v.Incarnation() != 9 {
@@ -154,9 +154,9 @@
 // is told that its predecessor is dead, and lives under the next one.
 func TestReusedIncarnation(t *testing.T) {
 	v := startView(4)
-	v.Apply(1, sender{1, 1, 5, 4}.gossips(update{number: 0, incarnation: 8, state: Dead}))
+	v.Apply(1, sender{1, 1, 5, 4}.gossipMessage(update{number: 0, incarnation: 8, state: Dead}))
 	notified := false
-	for _, s := range v.Apply(1000, sender{1, 1, 6, 4}.gossips()).Sends {
+	for _, s := range v.Apply(1000, sender{1, 1, 6, 4}.gossipMessage()).Sends {
 		m, err := decode(s.Message)
 		predecessorIsDead := update{number: 1, incarnation: 1, state: Dead}
 		if err == nil && s.To.Number == 1 && slices.Contains(m.updates, predecessorIsDead) {
@@ -166,18 +166,18 @@
 	if !notified {
 		t.Error("another process sends under an incarnation and is not notified")
 	}
-	v.Apply(1001, sender{1, 2, 6, 4}.gossips())
+	v.Apply(1001, sender{1, 2, 6, 4}.gossipMessage())
 	if m := v.Members()[1]; m.State != Alive || m.Incarnation != 2 {
 		t.Error("the new process is not alive under its own incarnation")
 	}
 }
 
-// TestPausedProcessDeclaresNobodyDead checks that a process blames nobody for
+// TestPausedProcessDeclaresNoMemberDead checks that a process blames nobody for
 // messages that it missed during its own pause.
-func TestPausedProcessDeclaresNobodyDead(t *testing.T) {
+func TestPausedProcessDeclaresNoMemberDead(t *testing.T) {
 	v := startView(3)
-	v.Apply(1, sender{1, 1, 5, 3}.gossips())
-	v.Apply(2, sender{2, 1, 6, 3}.gossips(update{number: 1, incarnation: 1, state: Suspect, reporter: 3}))
+	v.Apply(1, sender{1, 1, 5, 3}.gossipMessage())
+	v.Apply(2, sender{2, 1, 6, 3}.gossipMessage(update{number: 1, incarnation: 1, state: Suspect, reporter: 3}))
 	for v.NextTimerMS() < 1500 {
 		v.Apply(v.NextTimerMS(), TimerFired{})
 	}
--- a/internal/membershipsim/benchmark.go
+++ b/internal/membershipsim/benchmark.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	minuteMS        = 60_000
-	checkIntervalMS = 100
-	crashCount      = 4
-	crashIntervalMS = 12_000
-	slowDelayMS     = 1500 // by which slow processes are late in receiving, at most
-	slowOneIn       = 10   // processes of which one is slow
-	warmUpMS        = 20_000
+	minuteMS            = 60_000
+	checkIntervalMS     = 100
+	crashCount          = 4
+	crashIntervalMS     = 12_000
+	slowDelayMS         = 1500 // by which slow processes are late in receiving, at most
+	slowProcessInterval = 10   // processes of which one is slow
+	warmUpMS            = 20_000
 )
 
 // Results are the figures of one benchmark run. A negative time: not within a
@@ -169,7 +169,7 @@
 // result is of the other processes, once the fleet has started.
 func RunSlow(options Options, durationMS float64) FalsePositives {
 	var result FalsePositives
-	isSlow := func(process int) bool { return process%slowOneIn == 0 }
+	isSlow := func(process int) bool { return process%slowProcessInterval == 0 }
 	options.OnChange = func(s *Simulation, _ int, c membership.Change) {
 		if isSlow(c.Number) || s.NowMS < warmUpMS {
 			return
--- a/internal/membershipsim/benchmark_test.go
+++ b/internal/membershipsim/benchmark_test.go
@@ -9,24 +9,24 @@
 )
 
 var (
-	benchmark     = flag.String("measure", "", "print figures: fleet, loss, busy, all")
-	seedCount     = flag.Int("seeds", 20, "runs of each size")
-	parallelRuns  = flag.Int("cores", runtime.NumCPU(), "runs at once")
-	onlySize      = flag.Int("only", 0, "fleet size; 0: all sizes")
-	lossyHours    = flag.Float64("hours", 1, "simulated hours with loss")
-	onlyLossRate  = flag.Float64("loss", 0, "loss rate; 0: 10% and 30%")
-	fleetSizes    = []int{300, 1000}
-	fleetLossRate = []float64{0.1, 0.3}
+	benchmark      = flag.String("measure", "", "print figures: fleet, loss, busy, all")
+	seedCount      = flag.Int("seeds", 20, "runs of each size")
+	parallelRuns   = flag.Int("cores", runtime.NumCPU(), "runs at once")
+	onlySize       = flag.Int("only", 0, "fleet size; 0: all sizes")
+	lossyHours     = flag.Float64("hours", 1, "simulated hours with loss")
+	onlyLossRate   = flag.Float64("loss", 0, "loss rate; 0: 10% and 30%")
+	fleetSizes     = []int{300, 1000}
+	fleetLossRates = []float64{0.1, 0.3}
 )
 
 const (
-	hourMS       = 3_600_000
-	slowFleet    = 300
-	slowMinutes  = 5
-	maxDetectMS  = 8000
-	maxMassMS    = 20_000
-	maxHealMS    = 10_000
-	maxDatagrams = 3.0 // a second
+	hourMS                = 3_600_000
+	slowFleetSize         = 300
+	slowMinutes           = 5
+	maxDetectionMS        = 8000
+	maxMassFailureMS      = 20_000
+	maxHealMS             = 10_000
+	maxDatagramsPerSecond = 3.0 // a second
 )
 
 // forEachSeed runs f for seeds 1 to n, several at once, and returns the results in
@@ -46,8 +46,8 @@
 	return results
 }
 
-// wantsBenchmark reports whether -measure asks for a group of figures.
-func wantsBenchmark(group string) bool { return *benchmark == group || *benchmark == "all" }
+// benchmarkSelected reports whether -measure asks for a group of figures.
+func benchmarkSelected(group string) bool { return *benchmark == group || *benchmark == "all" }
 
 // TestMeasuredBounds holds a fleet to its bounds, on one seed and size; with -measure it
 // prints the figures of all seeds and sizes.
@@ -55,7 +55,7 @@
 	if *benchmark == "" {
 		checkBounds(t, Benchmark(Options{Seed: 1, Size: 100}))
 		result := RunLossy(Options{Seed: 1, Size: 60, LossRate: 0.1}, 600_000)
-		if result.Dead > 0 || result.DatagramsPerSecond > maxDatagrams {
+		if result.Dead > 0 || result.DatagramsPerSecond > maxDatagramsPerSecond {
 			t.Errorf("10%% lost: %d running members held dead; %.2f datagrams a second", result.Dead, result.DatagramsPerSecond)
 		}
 		return
@@ -64,14 +64,14 @@
 		if *onlySize != 0 && size != *onlySize {
 			continue
 		}
-		if wantsBenchmark("fleet") {
+		if benchmarkSelected("fleet") {
 			benchmarkFleet(t, size)
 		}
-		if wantsBenchmark("loss") {
+		if benchmarkSelected("loss") {
 			benchmarkLoss(t, size)
 		}
 	}
-	if wantsBenchmark("busy") {
+	if benchmarkSelected("busy") {
 		benchmarkSlow(t)
 	}
 }
@@ -97,7 +97,7 @@
 
 func benchmarkLoss(t *testing.T, size int) {
 	t.Helper()
-	for _, lossRate := range fleetLossRate {
+	for _, lossRate := range fleetLossRates {
 		if *onlyLossRate != 0 && lossRate != *onlyLossRate {
 			continue
 		}
@@ -116,11 +116,11 @@
 	t.Helper()
 	for _, fixed := range []bool{false, true} {
 		sum := sumFalsePositives(forEachSeed(*seedCount, func(seed uint64) FalsePositives {
-			return RunSlow(Options{Seed: seed, Size: slowFleet, FixedTimeouts: fixed}, slowMinutes*minuteMS)
+			return RunSlow(Options{Seed: seed, Size: slowFleetSize, FixedTimeouts: fixed}, slowMinutes*minuteMS)
 		}))
 		t.Logf("one in ten of %d receives late, %d minutes, fixed time-outs %v: "+
 			"others held dead %d times, suspected %d times, %.2f datagrams a second",
-			slowFleet, slowMinutes, fixed, sum.Dead, sum.Suspicions, sum.DatagramsPerSecond)
+			slowFleetSize, slowMinutes, fixed, sum.Dead, sum.Suspicions, sum.DatagramsPerSecond)
 	}
 }
 
@@ -139,8 +139,8 @@
 	t.Helper()
 	detection := Quantile(r.CrashDetectionMS, 0.99)
 	isWithin := func(value, limit float64) bool { return value >= 0 && value <= limit }
-	if !isWithin(detection, maxDetectMS) || !isWithin(r.MassFailure.ElapsedMS, maxMassMS) ||
-		!isWithin(r.Heal.ElapsedMS, maxHealMS) || r.IdleDatagramsPerSecond > maxDatagrams {
+	if !isWithin(detection, maxDetectionMS) || !isWithin(r.MassFailure.ElapsedMS, maxMassFailureMS) ||
+		!isWithin(r.Heal.ElapsedMS, maxHealMS) || r.IdleDatagramsPerSecond > maxDatagramsPerSecond {
 		t.Errorf("out of bounds: %v", r)
 	}
 }
--- a/internal/membershipsim/event.go
+++ b/internal/membershipsim/event.go
@@ -11,10 +11,10 @@
 
 // event is something that happens at a time.
 type event struct {
-	kind     eventKind
-	to       int    // process of a timer or datagram
-	start    int    // of a timer: the start of the process that set it; void after the next
-	from     int    // of a datagram
-	message  []byte // of a datagram
-	callback func()
+	kind       eventKind
+	to         int    // process of a timer or datagram
+	startCount int    // of a timer: the start of the process that set it; void after the next
+	from       int    // of a datagram
+	message    []byte // of a datagram
+	callback   func()
 }
--- a/internal/membershipsim/inspect.go
+++ b/internal/membershipsim/inspect.go
@@ -79,12 +79,12 @@
 
 // mismatchOf describes the first difference of one view from the truth.
 func (s *Simulation) mismatchOf(observer int, v *membership.View) string {
-	known := map[string]bool{}
+	listed := map[string]bool{}
 	for i, m := range v.Members() {
 		process := i
 		if s.Options.SeedCount > 0 {
 			process = s.processByAddr[m.Addr]
-			known[m.Name] = true
+			listed[m.Name] = true
 		}
 		heldAlive := m.State == membership.Alive || m.State == membership.Suspect
 		running := s.Views[process] != nil
@@ -97,7 +97,7 @@
 		return ""
 	}
 	for process, other := range s.Views {
-		if other != nil && !known[name(process)] {
+		if other != nil && !listed[name(process)] {
 			return fmt.Sprintf("front end %d doesn't know %d", observer, process)
 		}
 	}
--- a/internal/membershipsim/network.go
+++ b/internal/membershipsim/network.go
@@ -11,8 +11,8 @@
 // send gives a datagram to the network, which may lose, delay, duplicate or
 // corrupt it.
 func (s *Simulation) send(from int, datagram membership.Send) {
-	to, known := s.receiver(datagram)
-	if !known || s.RNG.Float64() < s.Options.LossRate {
+	to, found := s.receiver(datagram)
+	if !found || s.RNG.Float64() < s.Options.LossRate {
 		return
 	}
 	delayMS := s.Options.MinDelayMS + (s.Options.MaxDelayMS-s.Options.MinDelayMS)*s.RNG.Float64()
@@ -36,12 +36,12 @@
 }
 
 // receiver returns the process that a datagram goes to.
-func (s *Simulation) receiver(datagram membership.Send) (process int, known bool) {
+func (s *Simulation) receiver(datagram membership.Send) (process int, found bool) {
 	if datagram.To.Number >= 0 {
 		return datagram.To.Number, true
 	}
-	process, known = s.processByAddr[datagram.To.Addr]
-	return process, known
+	process, found = s.processByAddr[datagram.To.Addr]
+	return process, found
 }
 
 // deliver gives a datagram to its receiver, or keeps it while that is paused.
--- a/internal/membershipsim/simulation.go
+++ b/internal/membershipsim/simulation.go
@@ -40,10 +40,10 @@
 
 // process is the part of a simulated process that is not its view.
 type process struct {
-	starts  int
-	paused  bool
-	pending []event // datagrams that came while it was paused
-	timerMS float64 // when it is woken next
+	startCount int
+	paused     bool
+	pending    []event // datagrams that came while it was paused
+	wakeAtMS   float64 // when it is woken next
 }
 
 // Simulation is a running fleet. It is not safe for concurrent use.
@@ -114,7 +114,7 @@
 		case datagramEvent:
 			s.deliver(e)
 		case timerEvent:
-			if e.start == s.processes[e.to].starts {
+			if e.startCount == s.processes[e.to].startCount {
 				s.fireTimer(e.to)
 			}
 		}
@@ -157,10 +157,10 @@
 	} else {
 		options.Peers = s.addrs
 	}
-	s.processes[i].starts++
-	seed := s.Options.Seed<<20 + uint64(i)<<8 + uint64(s.processes[i].starts)
+	s.processes[i].startCount++
+	seed := s.Options.Seed<<20 + uint64(i)<<8 + uint64(s.processes[i].startCount)
 	s.Views[i] = membership.New(options, seed)
-	s.processes[i].timerMS = 0
+	s.processes[i].wakeAtMS = 0
 	s.apply(i, membership.Start{})
 }
 
@@ -242,9 +242,9 @@
 func (s *Simulation) scheduleTimer(i int) {
 	p := &s.processes[i]
 	next := s.Views[i].NextTimerMS()
-	if p.timerMS <= s.NowMS || next < p.timerMS {
-		p.timerMS = next
-		s.queue.Add(next, event{kind: timerEvent, to: i, start: p.starts})
+	if p.wakeAtMS <= s.NowMS || next < p.wakeAtMS {
+		p.wakeAtMS = next
+		s.queue.Add(next, event{kind: timerEvent, to: i, startCount: p.startCount})
 	}
 }
 
--- a/internal/membershipsim/simulation_test.go
+++ b/internal/membershipsim/simulation_test.go
@@ -13,10 +13,10 @@
 // the network does: no incarnation decreases, and a dead member stays dead under
 // its incarnation.
 func checkMonotonic(t *testing.T, options *Options) {
-	type subject struct{ observer, start, number int }
+	type subject struct{ observer, startCount, number int }
 	last := map[subject]membership.Member{}
 	options.OnChange = func(s *Simulation, observer int, c membership.Change) {
-		key := subject{observer, s.processes[observer].starts, c.Number}
+		key := subject{observer, s.processes[observer].startCount, c.Number}
 		previous := last[key]
 		if c.Incarnation < previous.Incarnation || c.Incarnation == previous.Incarnation && c.State < previous.State {
 			t.Errorf("seed %d, %.0f ms: front end %d holds %d as %v at %d after %v at %d", options.Seed, s.NowMS, observer,
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestLossDeclaresNobodyDead loses one datagram in five.
-func TestLossDeclaresNobodyDead(t *testing.T) {
+// TestPacketLossCausesNoFalseDeaths loses one datagram in five.
+func TestPacketLossCausesNoFalseDeaths(t *testing.T) {
 	dead := 0
 	for seed := uint64(1); seed <= 3; seed++ {
 		dead += RunLossy(Options{Seed: seed, Size: 60, LossRate: 0.2}, 300_000).Dead
@@ -181,9 +181,9 @@
 	}
 }
 
-// TestResumedProcessDeclaresNobodyDead checks that a process does not blame others
+// TestResumedProcessDeclaresNoMemberDead checks that a process does not blame others
 // for its own pause.
-func TestResumedProcessDeclaresNobodyDead(t *testing.T) {
+func TestResumedProcessDeclaresNoMemberDead(t *testing.T) {
 	if resumedWhileCutOff().State(8) == membership.Dead {
 		t.Error("a process that has just resumed, cut off, holds a member dead")
 	}
@@ -204,7 +204,7 @@
 			File: "internal/membership/suspicion.go",
 			Old:  "case !v.inMassFailure():",
 			New:  "case false && !v.inMassFailure():",
-		}, Test: "TestLossDeclaresNobodyDead"},
+		}, Test: "TestPacketLossCausesNoFalseDeaths"},
 		{Mutant: mutanttest.Mutant{
 			Name: "without pause detection",
 			File: "internal/membership/events.go",
