--- a/internal/membership/benchmark_test.go
+++ b/internal/membership/benchmark_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// startFullView returns a view whose members are all alive.
+// startFullView returns the view of number 0 of a fleet whose members are all alive.
 func startFullView(size int) *View {
 	v := startView(size)
 	for i := 1; i < size; i++ {
@@ -15,8 +15,8 @@
 	return v
 }
 
-// BenchmarkEvent measures a ping with its ack, and a timer, at the sizes of large
-// fleets.
+// BenchmarkEvent measures the handling of a ping, which includes its ack and the work
+// that is due, in views of several sizes.
 func BenchmarkEvent(b *testing.B) {
 	for _, size := range []int{16, 300, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// BenchmarkMemory measures the bytes of a view of 1,000 members.
+// BenchmarkMemory measures the memory that a view of 1,000 members takes.
 func BenchmarkMemory(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/membership/codec_test.go
+++ b/internal/membership/codec_test.go
@@ -12,7 +12,7 @@
 	"dewhill/internal/testprocess"
 )
 
-// TestRoundTrip checks that a message is decoded as it was encoded.
+// TestRoundTrip checks that decoding an encoded message returns the same message.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		number := rapid.Uint32Range(0, maxNumber)
@@ -35,26 +35,27 @@
 		slices.SortFunc(m.updates, func(a, b update) int { return a.number - b.number })
 		m.unlistedUpdates = []update{unlisted}
 		if got, err := decode(b); err != nil || !fits || !reflect.DeepEqual(got, m) {
-			t.Fatalf("%+v, %v, fits %v, want %+v", got, err, fits, m)
+			t.Fatalf("decoded %+v, error %v, unlisted update fits %v; want %+v", got, err, fits, m)
 		}
 	})
 }
 
-// TestReporterBound checks that a reporter of a suspicion over 32 bits makes a message
-// malformed: cut to them it would be another member.
+// TestReporterBound checks that a reporter ID of more than 32 bits makes a message
+// malformed. Truncated to 32 bits, it would identify another member.
 func TestReporterBound(t *testing.T) {
 	for reporter, want := range map[uint64]error{1<<32 - 1: nil, 1 << 32: pbuf.ErrMalformed} {
 		body := pbuf.AppendUint(nil, unlistedFieldReporter, reporter)
 		var u update
 		err := pbuf.ForEachField(body, u.setUnlistedField)
 		if !errors.Is(err, want) {
-			t.Errorf("%d: %v, want %v", reporter, err, want)
+			t.Errorf("reporter %d: error %v, want %v", reporter, err, want)
 		}
 	}
 }
 
-// TestMalformedMessages checks that cut and garbled messages are errors or
-// messages within bounds, and damage no view.
+// TestMalformedMessages checks that decoding a truncated or corrupted message returns
+// an error or a message within its bounds, and that a view that receives it keeps
+// its members and stays alive to itself.
 func TestMalformedMessages(t *testing.T) {
 	valid := string(sender{1, 2, 9, 6}.gossipMessage(
 		update{number: 2, incarnation: 3, state: Dead},
@@ -67,13 +68,13 @@
 		for range 3 {
 			b := testprocess.MalformedMessage(t, valid, string(withBlock), string(withUnlisted))
 			if m, err := decode(b); err == nil && (m.kind == 0 || m.incarnation == 0 || m.incarnation > maxIncarnation) {
-				t.Fatalf("%x gives %+v", b, m)
+				t.Fatalf("%x is decoded as %+v", b, m)
 			}
 			number := rapid.IntRange(-1, 6).Draw(t, "sender")
 			v.Apply(1, MessageReceived{Number: number, From: testPeers(1)[0], Message: b})
 		}
 		if len(v.Members()) != 6 || v.Members()[0].State != Alive {
-			t.Fatalf("%v", v.Members())
+			t.Fatalf("members after malformed messages: %v", v.Members())
 		}
 	})
 }
--- a/internal/membership/compat_test.go
+++ b/internal/membership/compat_test.go
@@ -12,8 +12,8 @@
 	"dewhill/internal/goldentest"
 )
 
-// TestCompatMessages checks that front ends of the previous version read each
-// message, field by field.
+// TestCompatMessages checks that encoded messages are equal to golden messages, so
+// that front ends of the previous version can decode each field.
 func TestCompatMessages(t *testing.T) {
 	v4 := netip.MustParseAddrPort("10.1.2.3:7946")
 	v6 := netip.MustParseAddrPort("[fd00::1]:80")
@@ -61,7 +61,8 @@
 	goldentest.Check(t, "messages.txt", cases, encodeMessage, decode)
 }
 
-// encodeMessage writes a message with all that it carries, as View.transmit does.
+// encodeMessage encodes a message with its updates, names and blocks, as View.transmit
+// does.
 func encodeMessage(m message) []byte {
 	const maxBytes = 250
 	b := m.append(nil)
@@ -76,8 +77,8 @@
 	return b
 }
 
-// TestCompatDigests checks that equal views have equal digests in every version:
-// else front ends would synchronize without end.
+// TestCompatDigests checks that equal views have equal digests in every version.
+// Otherwise front ends of different versions would synchronize forever.
 func TestCompatDigests(t *testing.T) {
 	addr := netip.MustParseAddrPort("10.1.2.3:7946")
 	peers := []netip.AddrPort{addr, netip.MustParseAddrPort("10.1.2.4:7946")}
@@ -91,7 +92,7 @@
 		t.Helper()
 		b := binary.BigEndian.AppendUint64(nil, got)
 		if !bytes.Equal(b, golden[name]) {
-			t.Errorf("%s encoded %x, golden %x", name, b, golden[name])
+			t.Errorf("%s: digest %x, want golden %x", name, b, golden[name])
 		}
 	}
 	check("view", v.Digest())
@@ -105,7 +106,7 @@
 }
 
 // TestCompatNumbers checks the numbers of states and message kinds on the wire, and
-// the names that operators see.
+// their names, which operators see.
 func TestCompatNumbers(t *testing.T) {
 	golden, err := os.ReadFile(filepath.Join("testdata", "compat", "words.txt"))
 	if err != nil {
@@ -119,6 +120,6 @@
 		got.WriteString("word " + string('0'+rune(kind)) + " " + kind.String() + "\n")
 	}
 	if got.String() != string(golden) {
-		t.Errorf("numbers are\n%sgolden\n%s", got.String(), golden)
+		t.Errorf("numbers and names are\n%swant golden\n%s", got.String(), golden)
 	}
 }
--- a/internal/membership/convergence.go
+++ b/internal/membership/convergence.go
@@ -3,20 +3,21 @@
 import "dewhill/internal/antientropy"
 
 const (
-	// agreementsToConverge is how many members must have this view's digest.
+	// agreementsToConverge is the number of other members that must have reported
+	// this view's digest before the view counts as converged.
 	agreementsToConverge = 3
-	agreementPeriods     = 10.0 // for which an agreement counts
+	agreementPeriods     = 10.0 // probe periods after which an agreement expires
 	maxAgreements        = 4 * agreementsToConverge
 )
 
-// agreement is that a member had this front end's digest.
+// agreement records that another member reported this front end's digest.
 type agreement struct {
-	key  uint64 // of the member
-	atMS float64
+	key  uint64  // of the member
+	atMS float64 // time of the last message with the digest
 }
 
-// digestTerm is what a member adds to the digest of its range. A suspect counts as
-// alive: suspicions come and go.
+// digestTerm returns the number that a member adds to the digest of its range. A
+// suspect counts as alive, so that short-lived suspicions do not change digests.
 func (e *entry) digestTerm() uint64 {
 	state := e.State
 	switch state {
@@ -29,8 +30,8 @@
 	return antientropy.Mix(e.key ^ antientropy.Mix(uint64(e.Incarnation)<<3|uint64(state)))
 }
 
-// addToRangeDigest updates the digest of a member's range. A changed digest voids
-// the agreement of others.
+// addToRangeDigest adds a difference to the digest of a member's range. A changed
+// digest invalidates the agreements of other members.
 func (v *View) addToRangeDigest(e *entry, difference uint64) {
 	if difference == 0 {
 		return
@@ -40,7 +41,7 @@
 	v.agreements = v.agreements[:0]
 }
 
-// Digest returns a hash of all members that were heard of, with their
+// Digest returns a hash of all members whose state is not Unknown, with their
 // incarnations and whether they are alive, dead or left. Equal views have equal
 // digests.
 func (v *View) Digest() uint64 {
@@ -51,7 +52,9 @@
 	return digest
 }
 
-// recordDigest notes whether a message's sender has the same view.
+// recordDigest records the sender's agreement if a message has the digest of this
+// view; another digest discards all agreements. Messages from senders with another
+// configured list are ignored.
 func (v *View) recordDigest(sender *entry, m *message) {
 	if !v.hasSameList(m) {
 		return
@@ -78,9 +81,10 @@
 	}
 }
 
-// Converged reports whether this view has not changed since enough others had the
-// same digest. A front end that knows nobody else is converged some periods after
-// the last change; one that is leaving never is.
+// Converged reports whether agreementsToConverge other members, or all live ones if
+// there are fewer, have recently reported this view's present digest. A front end
+// that sees no other live member is converged agreementsToConverge periods after
+// the last change. A front end that is leaving is never converged.
 func (v *View) Converged() bool {
 	if v.leaving || !v.started {
 		return false
--- a/internal/membership/damper.go
+++ b/internal/membership/damper.go
@@ -10,29 +10,31 @@
 )
 
 // Damper decides which listed members are included in the division of work. A
-// view may change within seconds and back again; what is derived from it (subsets,
-// quotas) costs connections, so it follows slowly, and the more slowly the more
-// often a member flaps: each failure adds a penalty, which decays by half in
-// PenaltyHalfLifeMS, and a member is included again once it has been alive for
-// MinStableMS, doubled for each penalty, MaxStableMS at most.
+// view may change and change back within seconds, but each change of the subsets
+// and quotas that are derived from it costs connections. So the included members
+// follow the view with a delay, which grows with the number of times that a member
+// flaps. Each failure adds 1 to a member's penalty, which halves every
+// PenaltyHalfLifeMS. A member is included again once it has been alive for
+// MinStableMS, doubled for each unit of the penalty, but MaxStableMS at most.
 //
-// Without a quorum all listed members are included, as without a view, and while
-// the view has not converged nothing changes: one side of a partition that took
-// over the other's work would double the load on engines that both reach.
+// Without a quorum all listed members are included, as without a view. With a
+// quorum, nothing changes while the view has not converged: if one side of a
+// partition took over the other side's work, the load on engines that both sides
+// reach would double.
 type Damper struct {
-	MinStableMS       float64
-	MaxStableMS       float64
+	MinStableMS       float64 // time in a state after which a member is included or excluded
+	MaxStableMS       float64 // upper bound of the time for a member with a penalty
 	PenaltyHalfLifeMS float64
-	included          []bool
+	included          []bool // by number
 	flaps             []flapState
 }
 
 // flapState is the recent history of one member.
 type flapState struct {
 	alive       bool
-	sinceMS     float64
-	penalty     float64 // at penaltyAtMS
-	penaltyAtMS float64
+	sinceMS     float64 // time of the last change of alive
+	penalty     float64 // value at penaltyAtMS
+	penaltyAtMS float64 // time of the last failure
 }
 
 // NewDamper returns a damper for a list of the given size, with all members
@@ -52,12 +54,12 @@
 	return d
 }
 
-// Included returns, by number, which members are included. The slice belongs to
-// the damper.
+// Included returns, by number, whether each member is included. The caller must
+// not modify the slice.
 func (d *Damper) Included() []bool { return d.included }
 
 // Observe applies the view's present states and reports whether the included
-// members have changed. It is to be called about once a second.
+// members have changed. It must be called about once a second.
 func (d *Damper) Observe(nowMS float64, v *View) (changed bool) {
 	converged := v.Converged()
 	quorum := v.SeesQuorum()
@@ -79,7 +81,8 @@
 	return changed
 }
 
-// recordAlive notes whether a member is alive, and a penalty if it has failed.
+// recordAlive records whether a member is alive, and adds to its penalty if it has
+// failed since the last call.
 func (d *Damper) recordAlive(flap *flapState, nowMS float64, alive bool) {
 	if alive == flap.alive {
 		return
@@ -92,7 +95,8 @@
 	flap.sinceMS = nowMS
 }
 
-// shouldInclude reports whether a member is to be included, given that it is now.
+// shouldInclude reports whether a member is to be included. included tells whether
+// it is included now.
 func (d *Damper) shouldInclude(flap *flapState, nowMS float64, included bool) bool {
 	if !flap.alive {
 		return included && nowMS < flap.sinceMS+d.MinStableMS
@@ -104,7 +108,7 @@
 	return included || nowMS >= flap.sinceMS+stableMS
 }
 
-// penaltyAt returns the decayed penalty.
+// penaltyAt returns the penalty as decayed at a time.
 func (f *flapState) penaltyAt(nowMS, halfLifeMS float64) float64 {
 	return f.penalty * math.Exp2(-(nowMS-f.penaltyAtMS)/halfLifeMS)
 }
--- a/internal/membership/decode.go
+++ b/internal/membership/decode.go
@@ -9,7 +9,7 @@
 	"dewhill/internal/pbuf"
 )
 
-// decode reads a message. An error wraps pbuf.ErrMalformed.
+// decode decodes a message. An error wraps pbuf.ErrMalformed.
 func decode(b []byte) (message, error) {
 	var m message
 	if err := pbuf.Decode(b, m.setField, m.validate); err != nil {
@@ -18,8 +18,8 @@
 	return m, nil
 }
 
-// validate checks that the header's required fields are there and all are in their
-// bounds.
+// validate checks that the required fields of the header are present and that all
+// fields of the header are within their bounds.
 func (m *message) validate() error {
 	if m.kind == 0 || m.incarnation == 0 || m.incarnation > maxIncarnation || len(m.name) > MaxNameBytes ||
 		m.target > maxNumber || m.namesWantedFrom > maxNumber {
@@ -28,7 +28,8 @@
 	return nil
 }
 
-// isUint32Field reports whether a field of the header must be below 1<<32.
+// isUint32Field reports whether the value of a field of the header must be below
+// 1<<32.
 func isUint32Field(field protowire.Number) bool {
 	switch field {
 	case fieldDigest:
@@ -40,7 +41,7 @@
 	}
 }
 
-// setField sets a field that was read. Unknown fields are a later version's and
+// setField stores a decoded field. Unknown fields, which later versions may send,
 // are skipped.
 func (m *message) setField(field protowire.Number, value uint64, body []byte) error {
 	small := uint32(value)
@@ -78,7 +79,8 @@
 	return nil
 }
 
-// decodeList reads a field that holds a list, or an element of one.
+// decodeList decodes a field that holds a list or an element of a list, and skips
+// unknown fields.
 func (m *message) decodeList(field protowire.Number, body []byte) error {
 	switch field {
 	case fieldRangeDigests:
@@ -107,7 +109,8 @@
 	return err
 }
 
-// unpackIncarnationState splits an incarnation and a state that share a number.
+// unpackIncarnationState splits a number into an incarnation and a state; it is the
+// inverse of packIncarnationState.
 func unpackIncarnationState(value uint64) (incarnation uint32, state State, err error) {
 	incarnation64, state := value>>3, State(value&7)
 	if incarnation64 > maxIncarnation || state > Left {
@@ -140,8 +143,8 @@
 	return nil
 }
 
-// decodeStateAndReporter reads the rest of an update after its number, and returns
-// what follows it.
+// decodeStateAndReporter decodes the part of an update after its number, and
+// returns the bytes after the update.
 func (u *update) decodeStateAndReporter(b []byte) ([]byte, error) {
 	packed, b, err := consumeVarint(b, 1<<64-1)
 	if err != nil {
@@ -156,7 +159,8 @@
 	return b, err
 }
 
-// consumeVarint reads a number up to a bound, and returns what follows it.
+// consumeVarint decodes a varint, which must not be above limit, and returns it and
+// the bytes after it.
 func consumeVarint(b []byte, limit uint64) (value uint64, rest []byte, err error) {
 	value, n := protowire.ConsumeVarint(b)
 	if n < 0 || value > limit {
@@ -225,8 +229,8 @@
 	return nil
 }
 
-// setUnlistedField sets a field of the update of an unlisted member. Unknown
-// fields are a later version's and are skipped.
+// setUnlistedField stores a decoded field of an unlisted member's update. Unknown
+// fields, which later versions may send, are skipped.
 func (u *update) setUnlistedField(field protowire.Number, value uint64, body []byte) error {
 	var err error
 	switch field {
@@ -238,7 +242,7 @@
 		u.incarnation, u.state, err = unpackIncarnationState(value)
 	case unlistedFieldReporter:
 		u.reporter, err = pbuf.Uint32(value)
-	default: // a later version's
+	default: // a field of a later version
 	}
 	return err
 }
--- a/internal/membership/encode.go
+++ b/internal/membership/encode.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// maxFieldHeaderBytes is an upper bound for the tag and the length of a field.
+	// maxFieldHeaderBytes is an upper bound of the size of a field's tag and length.
 	maxFieldHeaderBytes = 3
-	// updatesBufferBytes is more than the updates of a datagram take.
+	// updatesBufferBytes is the size of the buffer for encoding updates, and more than
+	// the updates of a datagram take.
 	updatesBufferBytes = 512
-	rangeDigestBytes   = 2
+	rangeDigestBytes   = 2 // size of one range digest in a message
 )
 
-// packIncarnationState puts an incarnation and a state into one number.
+// packIncarnationState encodes an incarnation and a state as one number.
 func packIncarnationState(incarnation uint32, state State) uint64 {
 	return uint64(incarnation)<<3 | uint64(state)
 }
 
-// append writes the header: all but updates, names and blocks.
+// append appends the encoded header: all fields except updates, names and blocks.
 func (m *message) append(b []byte) []byte {
 	b = pbuf.AppendUint(b, fieldKind, uint64(m.kind))
 	b = pbuf.AppendUint(b, fieldSeq, uint64(m.seq))
@@ -38,7 +39,7 @@
 	return pbuf.AppendUint(b, fieldNamesWantedFrom, uint64(m.namesWantedFrom))
 }
 
-// encodeRangeDigests writes digests of 16 bits in big-endian order.
+// encodeRangeDigests encodes digests as 16 bits each, in big-endian order.
 func encodeRangeDigests(digests []uint16) (b []byte) {
 	for _, digest := range digests {
 		b = binary.BigEndian.AppendUint16(b, digest)
@@ -46,8 +47,8 @@
 	return b
 }
 
-// appendUpdates writes updates of listed members, as many from the front as fit
-// into maxBytes with what is there, and returns how many.
+// appendUpdates appends updates of listed members. It writes the longest prefix of
+// updates for which b stays within maxBytes, and returns its length.
 func appendUpdates(b []byte, updates []update, maxBytes int) (extended []byte, written int) {
 	available := maxBytes - len(b) - maxFieldHeaderBytes
 	if available <= 0 {
@@ -65,8 +66,8 @@
 	return b, 0
 }
 
-// encodeUpdates writes updates in the order of their numbers, each number as its
-// difference from the one before.
+// encodeUpdates appends updates in the order of their members' numbers, with each
+// number as its difference from the previous number.
 func encodeUpdates(b []byte, updates []update) []byte {
 	byNumber := slices.Clone(updates)
 	slices.SortFunc(byNumber, func(a, b update) int { return a.number - b.number })
@@ -82,8 +83,8 @@
 	return b
 }
 
-// appendNames writes names of listed members, as many from the front as fit, and
-// returns how many.
+// appendNames appends names of listed members. It writes the longest prefix of names
+// for which b stays within maxBytes, and returns its length.
 func appendNames(b []byte, names []memberName, maxBytes int) (extended []byte, written int) {
 	var body []byte
 	for _, n := range names {
@@ -97,7 +98,7 @@
 	return pbuf.AppendBytes(b, fieldNames, body), written
 }
 
-// appendUnlistedUpdate writes the update of an unlisted member, if it fits.
+// appendUnlistedUpdate appends the update of an unlisted member if it fits.
 func appendUnlistedUpdate(b []byte, u update, maxBytes int) (extended []byte, fits bool) {
 	body := protowire.AppendTag(nil, unlistedFieldName, protowire.BytesType)
 	body = protowire.AppendString(body, u.name)
@@ -110,7 +111,7 @@
 	return appendFieldIfFits(b, fieldUnlistedUpdate, body, maxBytes)
 }
 
-// appendRangeBlock writes a block, if it fits.
+// appendRangeBlock appends a block if it fits.
 func appendRangeBlock(b []byte, block rangeBlock, maxBytes int) (extended []byte, fits bool) {
 	field := fieldRangeBlock
 	shared := uint64(block.incarnation)
@@ -124,7 +125,7 @@
 	return appendFieldIfFits(b, field, body, maxBytes)
 }
 
-// appendFieldIfFits writes a field of bytes, if it fits.
+// appendFieldIfFits appends a field of bytes if b then stays within maxBytes.
 func appendFieldIfFits(b []byte, field protowire.Number, body []byte, maxBytes int) (extended []byte, fits bool) {
 	if len(b)+maxFieldHeaderBytes+len(body) > maxBytes {
 		return b, false
--- a/internal/membership/events.go
+++ b/internal/membership/events.go
@@ -12,11 +12,11 @@
 type Event interface{ event() }
 
 type (
-	// Start begins. It must be the first event.
+	// Start starts the view. It must be the first event.
 	Start struct{}
-	// TimerFired reports that the time returned by NextTimerMS has come.
+	// TimerFired reports that the time returned by NextTimerMS has been reached.
 	TimerFired struct{}
-	// MessageReceived is a datagram from the listed member Number or, where that is
+	// MessageReceived is a datagram from the listed member Number or, if Number is
 	// negative, from the address From.
 	MessageReceived struct {
 		Number  int
@@ -24,7 +24,7 @@
 		Message []byte
 	}
 	// ShutdownStarted reports that the process is about to end. The view announces
-	// this and then only answers.
+	// this to other members and from then on only replies to messages.
 	ShutdownStarted struct{}
 )
 
@@ -33,26 +33,26 @@
 func (MessageReceived) event() {}
 func (ShutdownStarted) event() {}
 
-// Send asks for a message to be sent in a datagram.
+// Send is a message that the caller must send in a datagram.
 type Send struct {
 	To      Peer
 	Message []byte
 }
 
-// Change is a member's new state.
+// Change is a member with its new state, and its previous state.
 type Change struct {
 	Member
 	Previous State
 }
 
-// Effects are the outputs of one event, valid until the next.
+// Effects are the outputs of one event. They are valid until the next event.
 type Effects struct {
 	Sends   []Send
 	Changes []Change
 }
 
-// Apply handles an event at a time in ms and does all work that is due. Time
-// does not go back: a smaller time than that of the previous event counts as it.
+// Apply handles an event at a time in ms and does all work that is due. If the time
+// is before the previous event's, the previous event's time is used.
 func (v *View) Apply(nowMS float64, event Event) *Effects {
 	v.effects.Sends = v.effects.Sends[:0]
 	v.effects.Changes = v.effects.Changes[:0]
@@ -89,7 +89,7 @@
 	v.nextReconnectMS = v.nowMS
 }
 
-// runDueWork does everything whose time has come.
+// runDueWork does all work that is due.
 func (v *View) runDueWork() {
 	v.advanceDueProbes()
 	v.nackOverdueRequests()
@@ -102,8 +102,8 @@
 	}
 }
 
-// The length of each period is drawn around the probe interval, so that front
-// ends that start together do not stay in step.
+// The length of each period is drawn at random around the probe interval, so that
+// front ends that start together do not stay synchronized.
 const (
 	minPeriodFraction = 0.95
 	periodJitter      = 0.1
@@ -121,7 +121,7 @@
 	v.gossipInPeriod()
 }
 
-// scheduleTimer sets the time at which work is due next.
+// scheduleTimer sets the next time at which work is due.
 func (v *View) scheduleTimer() {
 	if !v.started || v.leaving {
 		v.nextTimerMS = math.Inf(1)
@@ -139,10 +139,11 @@
 	}
 }
 
-// NextTimerMS returns when TimerFired is due; +Inf: not at all.
+// NextTimerMS returns the time at which TimerFired is due; +Inf if no work is
+// scheduled.
 func (v *View) NextTimerMS() float64 { return v.nextTimerMS }
 
-// removeEntry returns a list without an entry.
+// removeEntry removes an entry from a list in place and returns the shorter list.
 func removeEntry(list []*entry, e *entry) []*entry {
 	return slices.DeleteFunc(list, func(other *entry) bool { return other == e })
 }
--- a/internal/membership/forget.go
+++ b/internal/membership/forget.go
@@ -10,23 +10,25 @@
 	maxTombstones         = 1 << 12
 )
 
-// tombstones remember forgotten members, so that no outdated update brings one
-// back, and their addresses, to be contacted again. The oldest are dropped.
+// tombstones are records of forgotten members. Their incarnations prevent an
+// outdated update from adding a forgotten member again, and the addresses of dead
+// members are kept to be contacted again. Above maxTombstones the oldest are dropped.
 type tombstones struct {
 	incarnations map[string]uint32 // by name
 	order        []string          // names, the oldest first
-	addrs        []netip.AddrPort  // of members that were dead, not of those that left
+	addrs        []netip.AddrPort  // of members that were dead; members that left are not contacted
 }
 
 func newTombstones() tombstones { return tombstones{incarnations: map[string]uint32{}} }
 
-// covers reports whether a name was forgotten with this incarnation or a later one.
+// covers reports whether the member of a name was forgotten with this incarnation
+// or a larger one.
 func (t *tombstones) covers(name string, incarnation uint32) bool {
 	forgottenIncarnation, found := t.incarnations[name]
 	return found && incarnation <= forgottenIncarnation
 }
 
-// add remembers a member that is being forgotten.
+// add records a member that is being forgotten.
 func (t *tombstones) add(m *Member) {
 	if _, found := t.incarnations[m.Name]; !found {
 		t.order = append(t.order, m.Name)
@@ -42,7 +44,8 @@
 	}
 }
 
-// forget removes unlisted members that have been dead or departed for long.
+// forget removes unlisted members that have been dead or left for
+// Times.ForgetAfterMS, and records tombstones for them.
 func (v *View) forget() {
 	kept := v.ring[:0]
 	for _, e := range v.ring {
@@ -61,7 +64,8 @@
 	v.reindexRing(0)
 }
 
-// isForgettable reports whether a member is unlisted and long dead or departed.
+// isForgettable reports whether a member is unlisted, is not this front end, and has
+// been dead or left for Times.ForgetAfterMS.
 func (v *View) isForgettable(e *entry) bool {
 	if e.Number >= 0 || e == v.self || e.State == Alive || e.State == Suspect {
 		return false
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	maxBurstDatagrams  = 80.0 // sent at once on top of the rate
-	maxDebtDatagrams   = 4.0  // by which probes and acks may overdraw the budget
-	probeReserve       = 4.0  // datagrams kept for probes and acks
-	gossipReserve      = 10.0 // datagrams below which updates only travel with probes
-	refillFraction     = 0.98 // of the rate, so that bursts are compensated within an hour
-	gossipFanout       = 3    // datagrams that spread new updates at once
-	gossipBatchMS      = 30.0 // for which a new update waits for others
-	recentPeriods      = 3    // for which a member counts as received from recently
-	bulkUpdateCount    = 40   // queued updates above which ranges are sent as a whole
-	bulkPingsPerPeriod = 4    // pings a period that spread many updates
+	maxBurstDatagrams  = 80.0 // datagrams that a burst may send above the rate
+	maxDebtDatagrams   = 4.0  // datagrams by which probes and acks may overdraw the budget
+	probeReserve       = 4.0  // datagrams reserved for probes and acks
+	gossipReserve      = 10.0 // datagrams below which updates are sent only with probes and acks
+	refillFraction     = 0.98 // fraction of the rate, so that bursts are compensated within an hour
+	gossipFanout       = 3    // members to which new updates are sent at once
+	gossipBatchMS      = 30.0 // time for which a new update waits to be sent together with others
+	recentPeriods      = 3    // periods for which a member counts as a recent sender
+	bulkUpdateCount    = 40   // queued updates above which updates are sent in blocks of whole ranges
+	bulkPingsPerPeriod = 4    // pings per period that spread updates in bulk
 )
 
-// sendBudget is a token bucket of datagrams.
+// sendBudget is a token bucket that limits the rate of sent datagrams.
 type sendBudget struct {
 	tokens       float64
 	refilledAtMS float64
@@ -30,29 +30,32 @@
 	b.refilledAtMS = nowMS
 }
 
-// spend takes a datagram from the budget.
+// spend takes one datagram from the budget.
 func (b *sendBudget) spend() { b.tokens = max(-maxDebtDatagrams, b.tokens-1) }
 
-// hasProbeReserve reports whether more can be sent than probes and acks need.
+// hasProbeReserve reports whether the budget covers more than the reserve for probes
+// and acks.
 func (b *sendBudget) hasProbeReserve() bool { return b.tokens >= probeReserve }
 
-// hasGossipReserve reports whether datagrams can be sent for gossip alone.
+// hasGossipReserve reports whether the budget allows datagrams that carry only
+// gossip.
 func (b *sendBudget) hasGossipReserve() bool { return b.tokens >= gossipReserve }
 
-// gossipQueue holds what is to be sent with the next datagrams.
+// gossipQueue holds the states and names to be sent with the next datagrams.
 type gossipQueue struct {
 	updates   []*entry // members whose state is to be sent
 	names     []*entry // members whose name is to be sent
-	flushAtMS float64  // when new updates are sent without waiting for other datagrams
+	flushAtMS float64  // time at which new updates are sent in datagrams of their own
 }
 
-// recentSenders is a ring buffer of the members that messages came from last.
+// recentSenders is a ring buffer of the members that messages were last received
+// from.
 type recentSenders struct {
 	members [16]*entry
 	added   int
 }
 
-// add notes a sender, unless it is among the recent ones.
+// add adds a sender, unless the buffer already contains it.
 func (r *recentSenders) add(e *entry) {
 	if slices.Contains(r.members[:], e) {
 		return
@@ -61,8 +64,8 @@
 	r.added++
 }
 
-// enqueueUpdate has the next datagrams carry a member's state: about log2 of the
-// fleet's size of them, which reach all members with high probability.
+// enqueueUpdate queues a member's state to be sent with the next datagrams: about
+// log2(fleet size) datagrams, which reach all members with high probability.
 func (v *View) enqueueUpdate(e *entry) {
 	if e.updateTransmits == 0 {
 		v.queue.updates = append(v.queue.updates, e)
@@ -71,7 +74,8 @@
 	v.queue.flushAtMS = min(v.queue.flushAtMS, v.nowMS+gossipBatchMS)
 }
 
-// flushGossip sends new updates to a few members at once, within the budget.
+// flushGossip sends new updates to gossipFanout members at once, as far as the
+// budget allows.
 func (v *View) flushGossip() {
 	v.queue.flushAtMS = math.Inf(1)
 	if len(v.queue.updates) == 0 {
@@ -85,8 +89,8 @@
 	}
 }
 
-// gossipInPeriod pings a member, or several where there are many updates, to
-// spread queued updates and to compare views.
+// gossipInPeriod pings one member, or several during bulk gossip, to spread queued
+// updates and to compare views.
 func (v *View) gossipInPeriod() {
 	for range bulkPingsPerPeriod {
 		target := v.gossipTarget()
@@ -95,7 +99,8 @@
 		if target != nil && hasWork && maySend {
 			v.sendTo(target, message{kind: ping})
 		}
-		// Suspicions alone leave the budget to the deaths that may follow.
+		// If all queued updates are suspicions, the budget is left to the updates of
+		// dead members that may follow.
 		onlySuspects := !slices.ContainsFunc(v.queue.updates, func(e *entry) bool { return e.State != Suspect })
 		if !v.usesBulkGossip() || onlySuspects {
 			return
@@ -103,9 +108,10 @@
 	}
 }
 
-// gossipTarget draws a member to send updates to; nil: there is none. With many
-// updates it is a recent sender, whatever the view holds of it: in a mass failure
-// most members held alive are not, and after a partition all may be held dead.
+// gossipTarget draws a member to send updates to; nil if there is none. During bulk
+// gossip it prefers a recent sender, whose state in the view is ignored: in a mass
+// failure most members that the view considers alive have failed, and after a
+// partition the view may consider all others dead.
 func (v *View) gossipTarget() *entry {
 	if v.usesBulkGossip() {
 		senders := &v.recentSenders.members
@@ -130,19 +136,20 @@
 	return target
 }
 
-// isRecent reports whether a message of the member came in the last periods.
+// isRecent reports whether a message of a member was received within the last
+// recentPeriods.
 func (v *View) isRecent(e *entry) bool {
 	return e != nil && e.lastReceivedMS > v.nowMS-recentPeriods*v.options.Times.ProbeIntervalMS
 }
 
-// usesBulkGossip reports whether there are so many updates that they are sent by
-// whole ranges.
+// usesBulkGossip reports whether updates are sent in blocks of whole ranges: because
+// many are queued, or many are expected in a mass failure.
 func (v *View) usesBulkGossip() bool {
 	return len(v.queue.updates) > bulkUpdateCount || v.inMassFailure()
 }
 
-// leave announces to a few members, the watchers among them, that this front end
-// shuts down.
+// leave announces to the members that this front end watches, and to random others,
+// that it is shutting down.
 func (v *View) leave() {
 	if v.leaving || !v.started {
 		return
--- a/internal/membership/indirect.go
+++ b/internal/membership/indirect.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// helpersPerProbe is how many members are asked to ping a probe's target.
+// helpersPerProbe is the number of members that are asked to ping a probe's target.
 const helpersPerProbe = 3
 
 // maxHelperDraws bounds the random draws of helpers for one probe.
 const maxHelperDraws = 4 * helpersPerProbe
 
-// maxIndirectProbes bounds the ping requests that are served at once.
+// maxIndirectProbes bounds the ping requests served at the same time.
 const maxIndirectProbes = 64
 
 // indirectProbe is a ping on behalf of another member.
 type indirectProbe struct {
 	requester    *entry
-	requesterSeq uint32
-	seq          uint32 // of the ping sent
+	requesterSeq uint32 // sequence number of the ping request
+	seq          uint32 // sequence number of the ping to the target
 	target       *entry
-	nackAtMS     float64
+	nackAtMS     float64 // time at which a nack is sent if there is no ack
 }
 
 // requestIndirectPings asks random members to ping a probe's target.
@@ -59,7 +59,8 @@
 	v.sendTo(target, message{kind: ping, seq: v.detector.lastProbeSeq})
 }
 
-// requestedTarget returns the member that a ping request names; nil: unknown.
+// requestedTarget returns the member that a ping request names; nil if it is not in
+// the view.
 func (v *View) requestedTarget(m *message) *entry {
 	if m.target > 0 && v.hasSameList(m) && v.isListed(int(m.target)-1) {
 		return v.ring[m.target-1]
@@ -70,7 +71,8 @@
 	return nil
 }
 
-// forwardAck passes the ack of an indirect ping on to its requester.
+// forwardAck sends an indirect ack to the requester if an ack answers an indirect
+// ping.
 func (v *View) forwardAck(seq uint32, from *entry) {
 	for i, p := range v.detector.indirectProbes {
 		if p.target == from && p.seq == seq {
@@ -81,7 +83,8 @@
 	}
 }
 
-// nackOverdueRequests answers ping requests whose target has sent no ack in time.
+// nackOverdueRequests sends a nack for each ping request whose target has not sent
+// an ack in time.
 func (v *View) nackOverdueRequests() {
 	for len(v.detector.indirectProbes) > 0 && v.detector.indirectProbes[0].nackAtMS <= v.nowMS {
 		overdue := v.detector.indirectProbes[0]
--- a/internal/membership/merge.go
+++ b/internal/membership/merge.go
@@ -2,10 +2,12 @@
 
 import "net/netip"
 
-// maxUnlistedMembers bounds what messages can add to a view.
+// maxUnlistedMembers bounds the number of unlisted members in a view, since messages
+// can add them.
 const maxUnlistedMembers = 1 << 12
 
-// overrides reports whether (incarnation, state) overrides another pair.
+// overrides reports whether (incarnation, state) overrides (thanIncarnation,
+// thanState).
 func overrides(incarnation uint32, state State, thanIncarnation uint32, thanState State) bool {
 	return incarnation > thanIncarnation || incarnation == thanIncarnation && state > thanState
 }
@@ -32,7 +34,8 @@
 	}
 }
 
-// mergeUpdate merges a member's state as another holds it.
+// mergeUpdate merges an update of a member's state. An update about this front end
+// itself is refuted if necessary.
 func (v *View) mergeUpdate(u update) {
 	if u.incarnation == 0 || u.state == Unknown {
 		return
@@ -49,8 +52,8 @@
 	}
 }
 
-// updateSubject returns the member that an update is about, and adds an unlisted
-// one that may join; nil: none.
+// updateSubject returns the member that an update is about, and adds it if it is
+// unlisted and may join; nil if there is no such member.
 func (v *View) updateSubject(u update) *entry {
 	if u.number >= 0 {
 		if !v.isListed(u.number) {
@@ -68,8 +71,10 @@
 	return e
 }
 
-// join adds an unlisted member; nil: it is known to be dead, there are too many,
-// or this front end takes part with listed members only.
+// join adds an unlisted member and returns it. It returns nil if the name or the
+// address is invalid, if the member was forgotten with this incarnation or a larger
+// one, if there are maxUnlistedMembers already, or if this front end accepts only
+// listed members.
 func (v *View) join(name string, addr netip.AddrPort, incarnation uint32) *entry {
 	listed := len(v.options.Peers)
 	if name == "" || !addr.IsValid() || len(v.ring)-listed >= maxUnlistedMembers {
@@ -85,8 +90,8 @@
 	return v.insert(name, addr)
 }
 
-// setState gives a member an incarnation and state, which must override its
-// present ones, and lets the change spread.
+// setState sets a member's incarnation and state, which must override its present
+// ones, and queues the change to be sent to other members.
 func (v *View) setState(e *entry, incarnation uint32, state State, reporter uint32) {
 	previous := e.Member
 	previousTerm := e.digestTerm()
@@ -112,7 +117,8 @@
 	v.effects.Changes = append(v.effects.Changes, Change{e.Member, previous.State})
 }
 
-// updateLive adds a member to the live ones, or removes it, as its state demands.
+// updateLive adds a member to the live members or removes it, according to its
+// state.
 func (v *View) updateLive(e *entry) {
 	alive := e.State == Alive || e.State == Suspect
 	if e == v.self || alive == e.isLive() {
@@ -130,7 +136,8 @@
 	e.liveIndex = -1
 }
 
-// setName stores the name of a listed member, and passes it on so many times.
+// setName stores the name of a listed member if it is new, and queues the name for
+// the given number of transmits.
 func (v *View) setName(e *entry, name string, transmits int) {
 	if e.Number < 0 || name == "" || e.Name == name {
 		return
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -6,19 +6,19 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// messageKind is what a message is for. Its numbers are part of the wire form.
+// messageKind is the purpose of a message. Its numbers are part of the wire format.
 type messageKind uint8
 
 const (
-	ping        messageKind = 1 + iota // asks for an ack with its sequence number
-	ack                                // answers a ping
-	pingRequest                        // asks the receiver to ping another member (ping-req)
-	indirectAck                        // answers a ping request: the target has sent an ack
-	nack                               // answers a ping request: no ack so far
-	gossip                             // asks for nothing
+	ping        messageKind = 1 + iota // requests an ack with the same sequence number
+	ack                                // reply to a ping
+	pingRequest                        // asks the receiver to ping another member (SWIM's ping-req)
+	indirectAck                        // reply to a ping request: the target has sent an ack
+	nack                               // reply to a ping request: the target has not sent an ack in time
+	gossip                             // carries updates only and requests no reply
 )
 
-// String returns the kind's published name.
+// String returns the kind's name, which is stable across versions.
 func (k messageKind) String() string {
 	switch k {
 	case ping:
@@ -38,13 +38,14 @@
 	}
 }
 
-// Bounds of what a message can make a view hold.
+// Bounds of the values that a message can add to a view.
 const (
-	// maxIncarnation is the largest incarnation accepted: above it a member would
-	// have none left to refute an update with.
+	// maxIncarnation is the largest incarnation accepted, so that a member always has
+	// larger incarnations left to refute an update with.
 	maxIncarnation = 1 << 30
-	maxNumber      = 1 << 14
-	// MaxNameBytes is the length of the longest name.
+	// maxNumber bounds the numbers of listed members.
+	maxNumber = 1 << 14
+	// MaxNameBytes is the maximum length of a member's name.
 	MaxNameBytes = 32
 )
 
@@ -60,15 +61,15 @@
 //	  fixed64 digest = 7;
 //	  bytes range_digests = 8;        // 16 bits for each range
 //	  uint32 target = 9;              // number + 1 of a ping request's target
-//	  string target_name = 10;        // the name of an unlisted one
+//	  string target_name = 10;        // name of a ping request's target that is unlisted
 //	  bytes updates = 11;             // (number difference, incarnation * 8 + state, reporter if suspect)...
 //	  bytes names = 12;               // (number, length, name)...
 //	  repeated UnlistedUpdate unlisted_updates = 13;
-//	  repeated bytes range_block = 14;   // range, incarnation, then two bits a member:
+//	  repeated bytes range_block = 14;   // range, incarnation, then two bits per member:
 //	                                     // 0 not in the block, 1 alive, 2 dead, 3 left
-//	  uint32 uptime = 15;             // of a young process, 1 + its uptime in units of 100 ms
-//	  repeated bytes uniform_block = 16; // range, incarnation * 8 + state, then one bit a member
-//	  uint32 names_wanted_from = 17;  // number + 1 of the first member whose name the sender lacks
+//	  uint32 uptime = 15;             // 1 + uptime in units of 100 ms, in the first 30 s of a process
+//	  repeated bytes uniform_block = 16; // range, incarnation * 8 + state, then one bit per member
+//	  uint32 names_wanted_from = 17;  // number + 1 of a member whose name the sender lacks
 //	}
 const (
 	fieldKind            protowire.Number = 1
@@ -125,15 +126,15 @@
 	rangeBlocks     []rangeBlock
 }
 
-// update is a member's state as another holds it: of a listed member by number,
-// or, where that is negative, by name and address.
+// update is a member's state in the sender's view. It identifies a listed member by
+// number, and an unlisted one, whose number is negative, by name and address.
 type update struct {
 	number      int
 	name        string
 	addr        netip.AddrPort
 	incarnation uint32
 	state       State
-	reporter    uint32 // of a suspect: who reported it last; 0: unknown
+	reporter    uint32 // for a suspect: reporter ID of its latest reporter; 0: unknown
 }
 
 // memberName is the name of a listed member.
@@ -142,13 +143,13 @@
 	name   string
 }
 
-// rangeBlock holds the states of all members of a range that share an
-// incarnation, in two bits a member, or, if it is uniform, the members that share
-// an incarnation and a state, in one bit.
+// rangeBlock encodes members of a range that share an incarnation. It holds two bits
+// per member, which encode its state. A uniform block holds one bit per member, which
+// is set if the member has the block's incarnation and state.
 type rangeBlock struct {
 	rangeIndex  int
 	incarnation uint32
 	bits        []byte
 	uniform     bool
-	state       State // of a uniform block
+	state       State // state of the members in a uniform block
 }
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -7,13 +7,13 @@
 
 // Times are the protocol's intervals and its send rate.
 type Times struct {
-	ProbeIntervalMS     float64 // a period: time between two probes
-	ProbeTimeoutMS      float64 // without an ack, after which a probe's next step begins
-	SuspicionMinMS      float64 // until a suspect with maxReporters reporters is declared dead
-	SuspicionMaxMS      float64 // until a suspect with a single reporter is declared dead
-	ReconnectIntervalMS float64 // between attempts to reach addresses of no live member
-	ForgetAfterMS       float64 // after which a dead or departed unlisted member is forgotten
-	DatagramsPerSecond  float64 // on average
+	ProbeIntervalMS     float64 // length of a period: time between two probes
+	ProbeTimeoutMS      float64 // time without an ack after which a probe's next step begins
+	SuspicionMinMS      float64 // time until a suspect with maxReporters reporters is declared dead
+	SuspicionMaxMS      float64 // time until a suspect with a single reporter is declared dead
+	ReconnectIntervalMS float64 // time between attempts to reach addresses that belong to no live member
+	ForgetAfterMS       float64 // time after which a dead or left unlisted member is forgotten
+	DatagramsPerSecond  float64 // average rate of sent datagrams
 }
 
 // DefaultTimes returns the times for one probe a second.
@@ -29,23 +29,23 @@
 	}
 }
 
-// defaultMaxMessageBytes holds where Options.MaxMessageBytes is 0.
+// defaultMaxMessageBytes is the default of Options.MaxMessageBytes.
 const defaultMaxMessageBytes = 256
 
 // Options identify this front end and configure its view.
 type Options struct {
-	Name             string           // cut to MaxNameBytes
+	Name             string           // truncated to MaxNameBytes
 	Self             int              // index in Peers; negative: unlisted
 	Peers            []netip.AddrPort // configured fleet, by index
 	Addr             netip.AddrPort   // own address, if unlisted
-	Seeds            []netip.AddrPort // addresses to join a fleet of unlisted members by
-	FirstIncarnation uint32           // incarnation to begin with; 0: 1
-	Size             int              // configured fleet size, for quorums; 0: number of known members
+	Seeds            []netip.AddrPort // addresses to contact to join a fleet with unlisted members
+	FirstIncarnation uint32           // incarnation at the start; 0: 1
+	Size             int              // configured fleet size, for quorums; 0: number of members in the view
 
 	MaxMessageBytes int   // 0: defaultMaxMessageBytes
 	Times           Times // zero value: DefaultTimes
-	// FixedTimeouts disables local health and the loss estimate: the baseline that
-	// a simulation compares them with.
+	// FixedTimeouts disables local health and the loss estimate. Simulations use it
+	// as a baseline for comparison.
 	FixedTimeouts bool
 }
 
--- a/internal/membership/pause.go
+++ b/internal/membership/pause.go
@@ -1,12 +1,13 @@
 package membership
 
-// pauseThresholdMS is the lateness of a timer that shows that this process was
-// paused.
+// pauseThresholdMS is the lateness of a timer above which this process is considered
+// to have been paused.
 const pauseThresholdMS = 300.0
 
-// handlePause handles that this process was paused: its view is as old as the
-// pause is long. Without this, a resumed process would declare all others dead
-// and spread states that have long changed.
+// handlePause adjusts the view after a pause of this process, during which it
+// received nothing. It cancels the probes in flight and extends the suspicions.
+// Without this, a resumed process would declare all others dead and spread outdated
+// states.
 func (v *View) handlePause(lateMS float64) {
 	v.Counters.Pauses++
 	for _, p := range v.detector.probes {
@@ -28,8 +29,8 @@
 	}
 }
 
-// discardGossip drops queued updates that may be outdated, and the agreement of
-// others with this view.
+// discardGossip drops the queued updates, which may be outdated, and the agreements
+// of other members with this view.
 func (v *View) discardGossip() {
 	for _, e := range v.queue.updates {
 		e.updateTransmits = 0
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -2,61 +2,63 @@
 
 import "slices"
 
-// probeKind is why a member is probed, and with what effort.
+// probeKind is the reason for a probe, which determines its steps.
 type probeKind uint8
 
 const (
-	// roundProbe is of the next member of a random round, or of a suspect.
+	// roundProbe is a probe of the next member of a round in random order, or of a
+	// suspect.
 	roundProbe probeKind = iota
-	// ringProbe is of this front end's next live member on the ring.
+	// ringProbe is a probe of the live member that follows this front end on the ring.
 	ringProbe
-	// sweepProbe is of further ring members where many may have failed. It asks no
-	// helpers, most of which may be gone too.
+	// sweepProbe is a probe of further ring members when many may have failed. It uses
+	// no helpers, since most of them may have failed too.
 	sweepProbe
 )
 
-// probe is a probe in flight: direct pings, then pings through helpers.
+// probe is a probe in flight. It consists of direct pings and then, depending on its
+// kind, of pings through helpers.
 type probe struct {
 	target     *entry
 	seq        uint32
 	startedMS  float64
 	nextStepMS float64
-	attempts   int // steps after the first ping
+	attempts   int // number of steps after the first ping
 	kind       probeKind
 }
 
-// failureDetector holds the probes of a view.
+// failureDetector holds the state of a view's probes.
 type failureDetector struct {
 	period          int // number of the current period
 	nextPeriodMS    float64
 	probes          []*probe
 	indirectProbes  []indirectProbe
-	failedProbeSeqs [8]uint32 // to recognize late acks, indexed by sequence number
+	failedProbeSeqs [8]uint32 // to recognize late acks, indexed by sequence number modulo the length
 	lastProbeSeq    uint32
 	probeRound      []*entry // live members still to be probed in this round
-	sweepWidth      int      // ring members to probe at once
+	sweepWidth      int      // number of ring members that the next sweep probes at once
 }
 
 // usesHelpers reports whether the probe also asks others to ping its target.
 func (p *probe) usesHelpers() bool { return p.kind != sweepProbe }
 
-// isOnRing reports whether the target was chosen by its place on the ring.
+// isOnRing reports whether the target was chosen by its position on the ring.
 func (p *probe) isOnRing() bool { return p.kind == ringProbe || p.kind == sweepProbe }
 
 const (
-	directPings          = 2   // of a probe
-	directPingsIfLossy   = 4   // of a probe on a lossy network
-	indirectPingTimeouts = 1.6 // probe time-outs that an indirect ping takes
-	maxSweepWidth        = 64  // ring members probed at once
-	sweepFreshPeriods    = 3   // a sweep skips members received from within these
-	nameProbeInterval    = 4   // periods between probes for members without a name
-	massSuspectDivisor   = 20  // one suspect of so many live members is a mass failure
-	minMassSuspectCount  = 3
+	directPings          = 2   // direct pings of a probe before it uses helpers or fails
+	directPingsIfLossy   = 4   // the same on a lossy network
+	indirectPingTimeouts = 1.6 // time-out of indirect pings, in probe time-outs
+	maxSweepWidth        = 64  // maximum number of ring members probed at once
+	sweepFreshPeriods    = 3   // periods within which a received message exempts a member from a sweep
+	nameProbeInterval    = 4   // periods between probes of members without a name
+	massSuspectDivisor   = 20  // a mass failure is more than one suspect per this number of live members
+	minMassSuspectCount  = 3   // minimum number of suspects in a mass failure
 )
 
-// probeNextMember begins the probe of a period. Every other period it goes to the
-// next member on the ring, so that every member is probed regularly by its
-// watchers, and else to a random one.
+// probeNextMember starts the probe of a period. In every second period the target is
+// the next member on the ring, so that every member is probed regularly by its
+// watchers; in the other periods the target is random.
 func (v *View) probeNextMember() {
 	if v.inMassFailure() {
 		v.probeInMassFailure()
@@ -73,9 +75,10 @@
 	}
 }
 
-// probeInMassFailure probes along the ring. The budget does not reach for random
-// probes, most of which would go to failed members: watchers detect those, and
-// gossip goes to members that are there.
+// probeInMassFailure probes the next members on the ring. The budget is too small for
+// random probes as well, most of which would go to failed members. Failed members are
+// detected by their watchers, and gossip prefers members that were recently received
+// from.
 func (v *View) probeInMassFailure() {
 	for _, e := range v.probeCandidates(watchersPerMember) {
 		v.startProbe(e, sweepProbe)
@@ -85,16 +88,17 @@
 	}
 }
 
-// inMassFailure reports whether many members are suspects, and not for packet
-// loss: the measures for a mass failure make probes weaker, and would add
-// suspects where the network is the cause.
+// inMassFailure reports whether many members are suspects although the network is
+// not lossy. On a lossy network the measures for a mass failure, which use fewer
+// pings per probe, would only add suspects.
 func (v *View) inMassFailure() bool {
 	suspects := len(v.suspects)
 	return suspects >= minMassSuspectCount && massSuspectDivisor*suspects > len(v.live) && !v.health.networkIsLossy()
 }
 
-// nextInRound returns the next live member of a round in random order, and first
-// one whose name is not known; nil: none.
+// nextInRound returns the next live member to probe, of a round in random order; nil
+// if there is none. Every nameProbeInterval periods it prefers a member whose name is
+// not known.
 func (v *View) nextInRound() *entry {
 	if v.detector.period%nameProbeInterval == 1 {
 		for _, e := range v.live {
@@ -103,7 +107,7 @@
 			}
 		}
 	}
-	for range 2 { // the rest of this round, then a new one
+	for range 2 { // the rest of this round, then a new round
 		for len(v.detector.probeRound) > 0 {
 			e := v.detector.probeRound[len(v.detector.probeRound)-1]
 			v.detector.probeRound = v.detector.probeRound[:len(v.detector.probeRound)-1]
@@ -120,7 +124,7 @@
 	return nil
 }
 
-// startProbe sends a probe's first ping.
+// startProbe starts a probe and sends its first ping.
 func (v *View) startProbe(e *entry, kind probeKind) {
 	v.Counters.Probes++
 	v.detector.lastProbeSeq++
@@ -135,7 +139,7 @@
 	v.sendTo(e, message{kind: ping, seq: v.detector.lastProbeSeq})
 }
 
-// advanceDueProbes takes the next step of each probe whose time-out has passed.
+// advanceDueProbes takes the next step of each probe whose time-out has expired.
 func (v *View) advanceDueProbes() {
 	for i := 0; i < len(v.detector.probes); i++ {
 		p := v.detector.probes[i]
@@ -155,7 +159,7 @@
 	if !e.isLive() {
 		return true
 	}
-	if e.lastReceivedMS > p.startedMS { // another message came instead of the ack
+	if e.lastReceivedMS > p.startedMS { // another message was received instead of the ack
 		v.health.firstPingLost()
 		v.cancelFinalProbe(e)
 		return true
@@ -168,7 +172,7 @@
 	p.attempts++
 	switch {
 	case p.attempts < pings:
-		if !v.inMassFailure() { // else a single ping has to do
+		if !v.inMassFailure() { // in a mass failure the first ping is not repeated
 			v.sendTo(e, message{kind: ping, seq: p.seq})
 		}
 		return false
@@ -183,8 +187,8 @@
 	}
 }
 
-// failProbe ends a probe without an ack: its target becomes a suspect, or dead
-// if it was the final probe of a suspect.
+// failProbe handles a probe that ended without an ack. Its target becomes suspect,
+// or dead if this was the final probe of a suspect.
 func (v *View) failProbe(p *probe) {
 	e := p.target
 	v.Counters.FailedProbes++
@@ -203,8 +207,9 @@
 	}
 }
 
-// widenSweep probes the members behind a failed one on the ring, twice as many
-// each time, so that a gap of any width is detected in few steps.
+// widenSweep probes the members that follow a failed member on the ring. Each call
+// probes twice as many as the previous call, up to maxSweepWidth, so that a gap of
+// any width is detected in few steps.
 func (v *View) widenSweep() {
 	v.detector.sweepWidth = min(maxSweepWidth, 2*v.detector.sweepWidth)
 	for _, e := range v.probeCandidates(v.detector.sweepWidth) {
@@ -217,8 +222,8 @@
 	}
 }
 
-// handleAck ends the probe of a sequence number. A direct ack must come from the
-// probe's target; an indirect one has no sender to compare (nil).
+// handleAck ends the probe with a sequence number. A direct ack must come from the
+// probe's target. For an indirect ack, which a helper sends, from is nil.
 func (v *View) handleAck(seq uint32, from *entry) {
 	for i, p := range v.detector.probes {
 		if p.seq != seq || from != nil && p.target != from {
@@ -229,13 +234,13 @@
 		return
 	}
 	slot := &v.detector.failedProbeSeqs[int(seq)%len(v.detector.failedProbeSeqs)]
-	if seq != 0 && *slot == seq { // the ack came after its time-out
+	if seq != 0 && *slot == seq { // the ack was received after the probe had failed
 		*slot = 0
 		v.health.degrade()
 	}
 }
 
-// completeProbe notes that a probe was answered.
+// completeProbe updates the view after a probe was answered.
 func (v *View) completeProbe(p *probe) {
 	p.target.probing = false
 	if p.isOnRing() {
--- a/internal/membership/rangesync.go
+++ b/internal/membership/rangesync.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// rangeCount is the number of ranges of members that have a digest each.
+	// rangeCount is the number of ranges of members, each of which has a digest.
 	rangeCount = 16
-	// minBlockMembers is how many members of one incarnation take fewer bytes in a
-	// block than in single updates.
+	// minBlockMembers is the minimum number of members of one incarnation that take
+	// fewer bytes in a block than in single updates.
 	minBlockMembers   = 5
 	maxBlocksPerRange = 3
-	// minUniformWeight is the updateWeight of a range from which on it is sent as a
-	// uniform block.
+	// minUniformWeight is the minimum weight (updateWeight) of updates in a range for
+	// which they are sent as a uniform block.
 	minUniformWeight = 4 * minBlockMembers
 )
 
-// rangeOf returns the range of a member. Listed neighbours share one, so that the
-// states of a range take few bytes.
+// rangeOf returns the range of a member. A range contains listed members with
+// consecutive numbers, so that its states take few bytes.
 func (v *View) rangeOf(e *entry) int {
 	if e.Number < 0 {
 		return int(e.key % rangeCount)
@@ -27,7 +27,8 @@
 	return e.Number * rangeCount / max(1, len(v.options.Peers))
 }
 
-// rangeBounds returns the numbers of a range, from low up to high, exclusively.
+// rangeBounds returns the numbers of a range's listed members: from low up to, but
+// not including, high.
 func (v *View) rangeBounds(rangeIndex int) (low, high int) {
 	listed := len(v.options.Peers)
 	low = (rangeIndex*listed + rangeCount - 1) / rangeCount
@@ -35,11 +36,11 @@
 	return low, high
 }
 
-// shortDigest is a range's digest as messages carry it.
+// shortDigest returns the 16-bit form of a range's digest that messages carry.
 func shortDigest(digest uint64) uint16 { return uint16(antientropy.Mix(digest)) }
 
-// addDifferingRanges has a datagram carry the ranges whose digest is not the
-// receiver's, in random order, since not all may fit.
+// addDifferingRanges adds to a datagram the ranges whose digest differs from the
+// receiver's. It begins with a random range, since not all may fit.
 func (v *View) addDifferingRanges(out *outgoing, receiverDigests []uint16) {
 	from := v.rng.IntN(rangeCount)
 	for k := range rangeCount {
@@ -51,7 +52,8 @@
 	}
 }
 
-// appendUnlistedOfRange appends the unlisted members of a range.
+// appendUnlistedOfRange appends the unlisted members of a range to a list, beginning
+// with a random one.
 func (v *View) appendUnlistedOfRange(list []*entry, rangeIndex int) []*entry {
 	unlisted := v.ring[len(v.options.Peers):]
 	from := v.randomOffset(len(unlisted))
@@ -64,8 +66,9 @@
 	return list
 }
 
-// appendRanges writes blocks of the ranges in a bit set, from a random one on,
-// since not all may fit. It returns the members that have to be sent one by one.
+// appendRanges appends blocks of the ranges in a bit set. It begins with a random
+// range, since not all may fit, and returns the members that are in no block and must
+// be sent one by one.
 func (v *View) appendRanges(d *datagram, ranges uint16) []*entry {
 	var rest []*entry
 	from := v.rng.IntN(rangeCount)
@@ -89,8 +92,9 @@
 	return rest
 }
 
-// countRangeTransmit notes that the states of a range were sent, except those of
-// some members. Blocks don't tell suspects from live members.
+// countRangeTransmit counts a transmit of the state of each member of a range,
+// except for given members. Suspects are not counted, since blocks encode them as
+// alive.
 func (v *View) countRangeTransmit(rangeIndex int, except []*entry) {
 	low, high := v.rangeBounds(rangeIndex)
 	for _, e := range v.ring[low:high] {
@@ -100,11 +104,12 @@
 	}
 }
 
-// stateCodes are the two bits of a state in a block; 0: not in the block.
+// stateCodes are the two-bit codes of the states in a block; 0 means that the member
+// is not in the block.
 var stateCodes = [...]byte{Unknown: 0, Alive: 1, Suspect: 1, Dead: 2, Left: 3}
 
-// rangeBlocks describes a range in few bytes: members that share an incarnation in
-// blocks, and the rest to be sent one by one.
+// rangeBlocks encodes a range in few bytes. It returns blocks of members that share
+// an incarnation, and the other members, which must be sent one by one.
 func (v *View) rangeBlocks(rangeIndex int) (blocks []rangeBlock, rest []*entry) {
 	low, high := v.rangeBounds(rangeIndex)
 	isUnknown := func(e *entry) bool { return e.State == Unknown }
@@ -127,8 +132,8 @@
 	return blocks, rest
 }
 
-// mostCommonIncarnation returns the incarnation that most members have, and how
-// many. Ranges are short enough to count pairwise.
+// mostCommonIncarnation returns the incarnation that most members have, and the
+// number of these members. It compares all pairs, since ranges are short.
 func mostCommonIncarnation(members []*entry) (incarnation uint32, count int) {
 	for i, e := range members {
 		if i > 0 && e.Incarnation == members[i-1].Incarnation {
@@ -148,8 +153,9 @@
 	return incarnation, count
 }
 
-// appendUniformBlocks writes many updates in few bytes: of each range the members
-// of the incarnation and state with the weightiest updates, as many ranges as fit.
+// appendUniformBlocks appends many updates in few bytes. For each range it writes the
+// members with the incarnation and state whose queued updates have the largest total
+// weight, for as many ranges as fit.
 func (v *View) appendUniformBlocks(d *datagram) {
 	from := v.rng.IntN(rangeCount)
 	for k := range rangeCount {
@@ -181,7 +187,7 @@
 }
 
 // heaviestState returns a member with the incarnation and state whose queued
-// updates weigh most; nil: they are not worth a block.
+// updates have the largest total weight; nil if no total reaches minUniformWeight.
 func heaviestState(members []*entry) *entry {
 	var best *entry
 	bestWeight := minUniformWeight - 1
@@ -203,9 +209,11 @@
 	return best
 }
 
-// updateWeight ranks the updates of a range: those sent least often first, and
-// those of live members before the rest. After a partition all first learn that the
-// other side is dead; the refutations, which all must learn, come before that.
+// updateWeight returns the weight of a member's queued update. Updates that were sent
+// less often weigh more, and updates of live members weigh twice as much as others:
+// after a partition, each side's updates that declare the other side dead spread
+// first, and the refutations, which all members must receive, take precedence over
+// them.
 func (e *entry) updateWeight() int {
 	if e.State == Alive {
 		return 2 * e.updateTransmits
@@ -213,7 +221,7 @@
 	return e.updateTransmits
 }
 
-// mergeRangeBlock merges the states of a block.
+// mergeRangeBlock merges the states in a block.
 func (v *View) mergeRangeBlock(block rangeBlock) {
 	low, high := v.rangeBounds(block.rangeIndex)
 	if block.uniform {
@@ -224,7 +232,7 @@
 		}
 		return
 	}
-	states := [...]State{Unknown, Alive, Dead, Left} // by stateCodes
+	states := [...]State{Unknown, Alive, Dead, Left} // indexed by the codes in stateCodes
 	for i := range min(high-low, 4*len(block.bits)) {
 		code := block.bits[i/4] >> (i % 4 * 2) & 3
 		v.mergeUpdate(update{number: low + i, incarnation: block.incarnation, state: states[code]})
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -3,19 +3,21 @@
 import "net/netip"
 
 const (
-	uptimeUnitMS       = 100.0    // of the uptime that a young process reports
-	reportsUptimeForMS = 30_000.0 // after its start
-	// uptimeToleranceMS is by how much a process may seem older than its incarnation:
-	// for delays and clock rates.
+	uptimeUnitMS       = 100.0    // unit of the reported uptime
+	reportsUptimeForMS = 30_000.0 // time after its start for which a process reports its uptime
+	// uptimeToleranceMS is the time by which this front end's knowledge of an
+	// incarnation may exceed the reported uptime of its process, because of delays and
+	// differing clock rates.
 	uptimeToleranceMS = 2000.0
-	// minReplyIntervalMS is between unrequested replies to one member.
+	// minReplyIntervalMS is the minimum time between a reply to a member and an
+	// unrequested reply to it.
 	minReplyIntervalMS = 200.0
 )
 
-// How often a newly learned name is passed on.
+// The number of datagrams that carry a newly received name.
 const (
-	nameTransmitsFromGossip = 2
-	nameTransmitsFromOwner  = 4
+	nameTransmitsFromGossip = 2 // the name was received from another member
+	nameTransmitsFromOwner  = 4 // the name was received from its owner
 )
 
 // receive handles a datagram. A malformed one is counted and dropped.
@@ -40,12 +42,12 @@
 	v.handleKind(sender, &m)
 }
 
-// handleKind does what a message asks for.
+// handleKind handles a message according to its kind.
 func (v *View) handleKind(sender *entry, m *message) {
 	switch m.kind {
 	case ping:
 		v.reply(sender, ack, m)
-		return // the ack carries what the sender lacks
+		return // the ack carries the updates that the sender lacks
 	case ack:
 		v.handleAck(m.seq, sender)
 		v.forwardAck(m.seq, sender)
@@ -53,14 +55,15 @@
 		v.handleAck(m.seq, nil)
 	case pingRequest:
 		v.servePingRequest(sender, m)
-	case nack, gossip: // no more than what they carry
+	case nack, gossip: // request nothing; their updates have been merged
 	default: // decode accepts no other kind
 	}
 	v.replyIfOutdated(sender, m)
 }
 
-// replyIfOutdated sends gossip to a member whose message shows that it lacks
-// something, unless it was sent a reply just now.
+// replyIfOutdated sends gossip to a member whose message shows that its view is
+// outdated, unless a reply was sent to it within minReplyIntervalMS or the budget is
+// too small.
 func (v *View) replyIfOutdated(sender *entry, m *message) {
 	digestsDiffer := m.rangeDigests != nil && v.hasSameList(m) && m.digest != v.Digest()
 	if !digestsDiffer && !v.mustLearnOwnState(sender, m.incarnation) {
@@ -75,8 +78,8 @@
 // front end's, so that numbers mean the same members.
 func (v *View) hasSameList(m *message) bool { return m.listSize == uint32(len(v.options.Peers)) }
 
-// findSender returns the member that sent a datagram, and adds an unlisted one
-// that may join; nil: nobody that may take part.
+// findSender returns the member that sent a datagram, and adds it if it is unlisted
+// and may join; nil if the sender is not a member and may not join.
 func (v *View) findSender(received MessageReceived, m *message) *entry {
 	if v.isListed(received.Number) {
 		return v.ring[received.Number]
@@ -94,7 +97,7 @@
 	return e
 }
 
-// unlistedByAddr returns the unlisted member of an address; nil: none.
+// unlistedByAddr returns the unlisted member with an address; nil if there is none.
 func (v *View) unlistedByAddr(addr netip.AddrPort) *entry {
 	for _, e := range v.ring[len(v.options.Peers):] {
 		if e.Addr == addr {
@@ -104,14 +107,14 @@
 	return nil
 }
 
-// admitSender adds an unlisted sender that is not in the view.
+// admitSender adds an unlisted sender that is not in the view, if it may join.
 func (v *View) admitSender(addr netip.AddrPort, m *message) *entry {
 	forgottenIncarnation := v.tombstones.incarnations[m.name]
 	if m.incarnation > forgottenIncarnation {
 		return v.join(m.name, addr, m.incarnation)
 	}
-	// It has returned under the incarnation that it was forgotten with, or an older
-	// one: it is dead until it learns so and begins a new one.
+	// The sender was forgotten with this incarnation or a larger one. It is added as
+	// dead, so that it is notified and begins a new incarnation.
 	e := v.join(m.name, addr, forgottenIncarnation+1)
 	if e != nil {
 		v.setState(e, forgottenIncarnation, Dead, 0)
@@ -119,7 +122,8 @@
 	return e
 }
 
-// updateSender learns what a datagram proves about its sender.
+// updateSender updates the sender's entry with the information in the header of a
+// message.
 func (v *View) updateSender(e *entry, m *message) {
 	e.lastReceivedMS = v.nowMS
 	v.recentSenders.add(e)
@@ -134,8 +138,8 @@
 	}
 }
 
-// isOtherProcess reports whether a message under a member's incarnation comes
-// from a process other than the one that began the incarnation.
+// isOtherProcess reports whether a message with a member's incarnation comes from a
+// process other than the process that began the incarnation.
 func (v *View) isOtherProcess(e *entry, m *message) bool {
 	if e.bootID != 0 && e.bootID != m.bootID {
 		return true
@@ -144,14 +148,16 @@
 	return m.uptime > 0 && incarnationAgeMS > float64(m.uptime)*uptimeUnitMS+uptimeToleranceMS
 }
 
-// mustLearnOwnState reports whether a member that sends as alive under an
-// incarnation has to learn that the view holds something that overrides it.
+// mustLearnOwnState reports whether a member must be notified of its own state in
+// this view, because that state overrides being alive under the incarnation with
+// which the member sends.
 func (v *View) mustLearnOwnState(e *entry, incarnation uint32) bool {
 	return e.Incarnation > incarnation ||
 		e.Incarnation == incarnation && (e.State > Alive || e.incarnationReused)
 }
 
-// reply answers a message with a kind of its own and what its sender lacks.
+// reply sends a message of the given kind to the sender of a received message, with
+// the states that the sender lacks.
 func (v *View) reply(to *entry, kind messageKind, received *message) {
 	out := outgoing{number: to.Number, addr: to.Addr, message: message{kind: kind}}
 	sameList := v.hasSameList(received)
--- a/internal/membership/reconnect.go
+++ b/internal/membership/reconnect.go
@@ -1,17 +1,18 @@
 package membership
 
 const (
-	// unknownContactsPerPeriod is how many unknown members are contacted a period.
+	// unknownContactsPerPeriod is the number of additional contacts per period while
+	// there are unknown members.
 	unknownContactsPerPeriod = 2
-	// maxReconnectDraws bounds the draws for a member that is not live; the first
-	// unknownFirstDraws of them accept unknown members only, while there are any.
+	// maxReconnectDraws bounds the random draws of a member that is not live. While
+	// there are unknown members, the first unknownFirstDraws draws accept only those.
 	maxReconnectDraws = 64
 	unknownFirstDraws = 16
 )
 
-// reconnectIfDue contacts addresses of no live member, at the reconnect interval
-// and, within the budget, while members are unknown: a fleet that starts together
-// finds itself sooner.
+// reconnectIfDue contacts addresses that belong to no live member, once per reconnect
+// interval. While there are unknown members, it makes additional contacts within the
+// budget, so that the members of a fleet that starts together find each other sooner.
 func (v *View) reconnectIfDue() {
 	if v.nowMS >= v.nextReconnectMS || len(v.live) == 0 {
 		v.nextReconnectMS = v.nowMS + v.options.Times.ReconnectIntervalMS
@@ -24,9 +25,9 @@
 	}
 }
 
-// reconnect pings a random address of no live member: of one that is unknown, dead
-// or left, of a forgotten one, or a seed. This joins a fleet, and rejoins the sides
-// of a partition that have forgotten each other.
+// reconnect pings a random address that belongs to no live member: the address of an
+// unknown, dead or left member, of a forgotten member, or a seed. This joins a fleet,
+// and rejoins the sides of a partition that have forgotten each other.
 func (v *View) reconnect() {
 	notLive := len(v.ring) - len(v.live) - 1
 	forgotten := v.tombstones.addrs
@@ -47,7 +48,7 @@
 	}
 }
 
-// reconnectMember pings a random member that is not live, an unknown one first.
+// reconnectMember pings a random member that is not live, preferably an unknown one.
 func (v *View) reconnectMember() {
 	for draw := range maxReconnectDraws {
 		e := v.ring[v.rng.IntN(len(v.ring))]
--- a/internal/membership/ring.go
+++ b/internal/membership/ring.go
@@ -8,10 +8,12 @@
 	"dewhill/internal/antientropy"
 )
 
-// watchersPerMember is how many live members before one on the ring watch it.
+// watchersPerMember is the number of watchers of a member: the live members directly
+// before it on the ring.
 const watchersPerMember = 2
 
-// insert adds an unlisted member, at its place on the ring.
+// insert adds an unlisted member at its position on the ring, which is by name after
+// the listed members.
 func (v *View) insert(name string, addr netip.AddrPort) *entry {
 	member := Member{Number: -1, Name: name, Addr: addr, SinceMS: v.nowMS}
 	e := &entry{Member: member, key: antientropy.HashString(name), liveIndex: -1}
@@ -32,9 +34,9 @@
 	}
 }
 
-// probeCandidates returns up to limit members that follow this front end on the
-// ring, are live and are not being probed. Suspects that it reported itself are
-// left to their suspicion.
+// probeCandidates returns up to limit live members that follow this front end on the
+// ring and are not being probed. Suspects that this front end reported itself are
+// left out, since the time-outs of their suspicions decide.
 func (v *View) probeCandidates(limit int) []*entry {
 	var candidates []*entry
 	for k := 1; k < len(v.ring) && len(candidates) < limit; k++ {
@@ -50,8 +52,7 @@
 	return candidates
 }
 
-// isWatcherOf reports whether this front end is one of the live members right
-// before another on the ring.
+// isWatcherOf reports whether this front end is a watcher of a member.
 func (v *View) isWatcherOf(e *entry) bool {
 	alive := 0
 	for k := 1; k < len(v.ring) && alive < watchersPerMember; k++ {
@@ -66,7 +67,7 @@
 	return false
 }
 
-// randomOffset returns a random offset below n; 0 where n is 0.
+// randomOffset returns a random offset below n, or 0 if n is 0.
 func (v *View) randomOffset(n int) int {
 	if n == 0 {
 		return 0
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -5,29 +5,30 @@
 	"slices"
 )
 
-// maxQueuedPerDatagram is how many updates of two bytes fit into a datagram.
+// maxQueuedPerDatagram is the number of updates of two bytes that fit into a
+// datagram.
 const maxQueuedPerDatagram = 110
 
-// outgoing is a datagram to be assembled: a message, what it must carry, and as
-// many queued updates as fit.
+// outgoing describes a datagram to be assembled: a message, and the states and names
+// that it carries in addition to queued updates.
 type outgoing struct {
-	number           int // of the receiver in the list; negative: addr is used
+	number           int // of the receiver in the list; negative: addr identifies the receiver
 	addr             netip.AddrPort
 	message          message
-	required         []*entry // members whose state comes first
+	required         []*entry // members whose state precedes other states
 	withRangeDigests bool
-	ranges           uint16 // bit set of ranges to send as a whole
+	ranges           uint16 // bit set of ranges whose states are all sent
 	namesFrom        uint32 // number + 1 of the first name to send; 0: none
 }
 
-// sendTo sends a message with queued updates to a member.
+// sendTo sends a message to a member, with queued updates.
 func (v *View) sendTo(e *entry, m message) {
 	v.transmit(outgoing{number: e.Number, addr: e.Addr, message: m})
 }
 
-// transmit assembles a datagram and sends it. In order of precedence it carries
-// the header, states in bulk, required states, those of differing ranges, queued
-// updates and names.
+// transmit assembles a datagram and adds it to the effects. In order of precedence it
+// carries the header, uniform blocks of queued updates, blocks of the given ranges,
+// required states, the other states of the ranges, queued updates, and names.
 func (v *View) transmit(out outgoing) {
 	v.fillHeader(&out)
 	maxBytes := v.options.MaxMessageBytes
@@ -47,7 +48,7 @@
 	v.effects.Sends = append(v.effects.Sends, Send{To: Peer{out.number, out.addr}, Message: d.bytes})
 }
 
-// fillHeader sets the fields by which a message describes its sender.
+// fillHeader sets the header fields that describe the sender and its view.
 func (v *View) fillHeader(out *outgoing) {
 	m := &out.message
 	m.incarnation = v.self.Incarnation
@@ -66,18 +67,19 @@
 			m.rangeDigests[i] = shortDigest(digest)
 		}
 	}
-	if m.kind == ping && !v.usesBulkGossip() { // else the space is needed
+	if m.kind == ping && !v.usesBulkGossip() { // bulk gossip needs the space for updates
 		m.namesWantedFrom = v.firstUnnamed()
 	}
 }
 
-// isReachable reports whether the receiver is listed and held alive, or a recent
-// sender.
+// isReachable reports whether the receiver with a number is listed, and is alive in
+// this view or a recent sender.
 func (v *View) isReachable(number int) bool {
 	return number >= 0 && (v.isAlive(number) || v.isRecent(v.ring[number]))
 }
 
-// isAlive reports whether a number is of another member that is held alive.
+// isAlive reports whether a number belongs to another listed member that is alive in
+// this view.
 func (v *View) isAlive(number int) bool {
 	return number >= 0 && v.ring[number].isLive() && v.ring[number].State == Alive
 }
@@ -87,15 +89,16 @@
 	bytes    []byte
 	maxBytes int
 	updates  []update // of listed members, not yet written
-	subjects []*entry // of the updates
+	subjects []*entry // members that the updates are about
 }
 
-// add has the datagram carry a member's state, if it fits. to is the receiver's
-// number.
+// add adds a member's state to the datagram: that of a listed member to the updates
+// not yet written, and that of an unlisted one directly if it fits. to is the
+// receiver's number.
 func (d *datagram) add(e *entry, to int) {
 	u := update{number: e.Number, name: e.Name, addr: e.Addr, incarnation: e.Incarnation, state: e.State}
 	if e.incarnationReused && e.Number == to && e.State < Dead {
-		u.state = Dead // its predecessor is; only the member itself is told
+		u.state = Dead // the predecessor is dead; only the member itself is notified
 	}
 	if u.state == Suspect {
 		u.reporter = e.suspicion.lastReporter()
@@ -112,7 +115,7 @@
 	}
 }
 
-// flushUpdates writes the updates of listed members, as many as fit.
+// flushUpdates writes as many of the listed members' updates as fit.
 func (d *datagram) flushUpdates() {
 	if len(d.updates) == 0 {
 		return
@@ -124,8 +127,8 @@
 	}
 }
 
-// addRequired adds the required states and then the rest of the ranges, and
-// returns all of these members.
+// addRequired adds the required states and then the states in rest, and returns the
+// members of both.
 func (v *View) addRequired(d *datagram, out *outgoing, rest []*entry) []*entry {
 	for _, e := range out.required {
 		d.add(e, out.number)
@@ -138,7 +141,8 @@
 	return slices.Concat(out.required, rest)
 }
 
-// addQueued adds queued updates, the least transmitted first where not all fit.
+// addQueued adds queued updates, except those of members in added. If not all fit,
+// those transmitted least often come first.
 func (v *View) addQueued(d *datagram, out *outgoing, added []*entry) {
 	if len(v.queue.updates) > maxQueuedPerDatagram {
 		slices.SortStableFunc(v.queue.updates, func(a, b *entry) int { return b.updateTransmits - a.updateTransmits })
@@ -150,7 +154,7 @@
 	}
 }
 
-// appendNames writes the names that the receiver asked for, and queued ones.
+// appendNames appends the names that the receiver requested, and queued names.
 func (v *View) appendNames(d *datagram, out *outgoing) {
 	if out.namesFrom > 0 && !v.usesBulkGossip() {
 		names := v.namesFrom(int(out.namesFrom)-1, d.maxBytes/4)
@@ -171,7 +175,8 @@
 	v.queue.names = slices.DeleteFunc(v.queue.names, func(e *entry) bool { return e.nameTransmits <= 0 })
 }
 
-// namesFrom returns up to limit names of listed members, from a number on.
+// namesFrom returns up to limit names of listed members, beginning at a number and
+// continuing at 0 after the last.
 func (v *View) namesFrom(from, limit int) []memberName {
 	var names []memberName
 	for k := range len(v.options.Peers) {
@@ -183,9 +188,9 @@
 	return names
 }
 
-// firstUnnamed returns the number + 1 of a listed member that was heard of and
-// whose name is not known; 0: none. Names are sent after states and a few times
-// only: a front end that missed them asks.
+// firstUnnamed returns the number + 1 of a listed member whose state is known and
+// whose name is not; 0 if there is none. Since names are sent after states and only
+// a few times, a front end that has not received a name requests it.
 func (v *View) firstUnnamed() uint32 {
 	listed := len(v.options.Peers)
 	from := v.randomOffset(listed)
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -6,32 +6,32 @@
 type State uint8
 
 // The states, in the order in which they override one another within one
-// incarnation. Their numbers are part of the wire form.
+// incarnation. Their numbers are part of the wire format.
 const (
-	Unknown State = iota // listed, and never heard of
+	Unknown State = iota // no message from or about the member was received
 	Alive
 	Suspect
 	Dead
 	Left // shut down gracefully
 )
 
-// String returns the state as operators see it.
+// String returns the state's name in logs and in the operators' API.
 func (s State) String() string {
 	return [...]string{"unknown", "alive", "suspect", "dead", "left"}[min(s, Left)]
 }
 
-// Member is a member of the fleet as a view holds it.
+// Member is a member of the fleet, with its state in a view.
 type Member struct {
 	Number      int // index in the configured list; negative: unlisted
 	Name        string
 	Addr        netip.AddrPort
 	Incarnation uint32
 	State       State
-	SinceMS     float64 // when it entered the state
+	SinceMS     float64 // time of the last change of incarnation or state
 }
 
-// Peer identifies another member: by its index in the list, or, where that is
-// negative, by its address.
+// Peer identifies another member by its index in the list or, if that is negative,
+// by its address.
 type Peer struct {
 	Number int
 	Addr   netip.AddrPort
@@ -39,39 +39,39 @@
 
 // Roster lists the other members that have not left.
 type Roster struct {
-	Alive []Peer // held alive or suspect
+	Alive []Peer // alive or suspect
 	All   []Peer
-	Size  int // fleet size, with this front end
+	Size  int // fleet size, including this front end
 }
 
-// entry is a member and what this front end knows of it.
+// entry is a member with the local data that this front end keeps about it.
 type entry struct {
 	Member
-	key uint64 // hash of the identity, the same in every view
+	key uint64 // hash of the member's number or name, the same in every view
 
-	bootID              uint32 // of its process; 0: nothing received from it under this incarnation
-	incarnationReused   bool   // two processes sent under this incarnation
-	incarnationSeenAtMS float64
-	lastReceivedMS      float64
-	lastRepliedMS       float64
+	bootID              uint32  // of its process; 0: no message received under this incarnation
+	incarnationReused   bool    // messages of two processes were received under this incarnation
+	incarnationSeenAtMS float64 // time at which this incarnation was first received
+	lastReceivedMS      float64 // time of the last message received from the member
+	lastRepliedMS       float64 // time of the last reply to the member
 
 	suspicion suspicion // valid while the state is Suspect
-	probing   bool      // a probe of it is in flight
+	probing   bool      // a probe of the member is in flight
 
-	updateTransmits int // datagrams that are still to carry its state
-	nameTransmits   int // datagrams that are still to carry its name
-	liveIndex       int // in View.live; negative: not held alive
+	updateTransmits int // number of datagrams that must still carry its state
+	nameTransmits   int // number of datagrams that must still carry its name
+	liveIndex       int // in View.live; negative: not live
 	ringIndex       int // in View.ring
 }
 
-// isLive reports whether the member is held alive or suspect. It is false for
-// this front end itself, which is no target of probes and gossip.
+// isLive reports whether the member is alive or suspect in this view. It is false
+// for this front end itself, which is not a target of probes and gossip.
 func (e *entry) isLive() bool { return e.liveIndex >= 0 }
 
-// sameStateAs reports whether two members have one incarnation and state.
+// sameStateAs reports whether two members have the same incarnation and state.
 func (e *entry) sameStateAs(other *entry) bool {
 	return e.Incarnation == other.Incarnation && e.State == other.State
 }
 
-// countTransmit notes that a datagram carries the member's state.
+// countTransmit counts a datagram that carries the member's state.
 func (e *entry) countTransmit() { e.updateTransmits = max(0, e.updateTransmits-1) }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,13 +7,13 @@
 	"dewhill/internal/antientropy"
 )
 
-// Counters count since the start.
+// Counters count events since the start of the process.
 type Counters struct {
 	Probes            int `json:"Probes"`
 	FailedProbes      int `json:"Failed"`
 	Suspicions        int `json:"Suspicions"`
 	Refutations       int `json:"Refutations"`
-	FalseSuspicions   int `json:"FalseSuspicions"` // suspects that proved alive
+	FalseSuspicions   int `json:"FalseSuspicions"` // suspicions of members that were alive
 	Deaths            int `json:"Deaths"`          // declared by this front end
 	DatagramsSent     int `json:"Sent"`
 	DatagramsReceived int `json:"Received"`
@@ -22,7 +22,7 @@
 	Malformed         int `json:"Spoilt"`
 	OtherList         int `json:"OtherList"` // datagrams from members with another configured list
 	Pauses            int `json:"Pauses"`
-	Tombstoned        int `json:"Tombstoned"` // rejected updates of forgotten members
+	Tombstoned        int `json:"Tombstoned"` // rejected updates about forgotten members
 }
 
 // View is one front end's view of the fleet.
@@ -34,13 +34,13 @@
 	started     bool
 	startedAtMS float64
 	leaving     bool
-	bootID      uint32 // tells this process from others of the same name
+	bootID      uint32 // distinguishes this process from others with the same name
 
 	// Members.
 	self         *entry
 	ring         []*entry // listed members by number, then unlisted ones by name
 	byName       map[string]*entry
-	live         []*entry // alive or suspect, without self
+	live         []*entry // alive or suspect members, without self
 	suspects     []*entry
 	stateCounts  [Left + 1]int
 	rangeDigests [rangeCount]uint64
@@ -61,14 +61,15 @@
 	Counters Counters
 }
 
-// Constants of the random sequence, which is part of a simulation's repeatability.
+// Constants of the random sequence. A change of them changes the results of
+// simulations with the same seed.
 const (
 	rngStream        = 0x6d656d62
 	maxFirstProbeSeq = 1 << 13
 )
 
-// New returns the view of a front end that has just started and knows only its
-// configured list. The seed determines all random choices.
+// New returns the view of a front end that has just started, in which all listed
+// members are unknown. The seed determines all random choices.
 func New(options Options, seed uint64) *View {
 	options = options.withDefaults()
 	v := &View{
@@ -83,8 +84,8 @@
 		nextTimerMS: math.Inf(1),
 	}
 	v.bootID = v.rng.Uint32() | 1
-	// Probe numbers begin at random: an ack to the process before this one must not
-	// pass for an ack to this one.
+	// Sequence numbers start at a random number, so that an ack to the previous process
+	// is not mistaken for an ack to this process.
 	v.detector.lastProbeSeq = v.rng.Uint32N(maxFirstProbeSeq)
 	for i, addr := range options.Peers {
 		member := Member{Number: i, Addr: addr}
@@ -100,7 +101,7 @@
 	return v
 }
 
-// isListed reports whether a number is one of the configured list.
+// isListed reports whether a number is an index in the configured list.
 func (v *View) isListed(number int) bool {
 	return number >= 0 && number < len(v.options.Peers)
 }
@@ -124,7 +125,8 @@
 	return roster
 }
 
-// Size returns the number of members that the fleet is meant to have.
+// Size returns the configured fleet size or, without one, the number of members in
+// the view.
 func (v *View) Size() int {
 	if v.options.Size > 0 {
 		return v.options.Size
@@ -132,14 +134,15 @@
 	return len(v.ring)
 }
 
-// SeesQuorum reports whether more than half of the fleet is held alive or
-// suspect, this front end included.
+// SeesQuorum reports whether more than half of the fleet, including this front end,
+// is alive or suspect in this view.
 func (v *View) SeesQuorum() bool { return 2*(len(v.live)+1) > v.Size() }
 
 // Incarnation returns this front end's own incarnation.
 func (v *View) Incarnation() uint32 { return v.self.Incarnation }
 
-// Members returns all members, the listed ones first, by number.
+// Members returns all members: the listed ones by number, then the unlisted ones by
+// name.
 func (v *View) Members() []Member {
 	members := make([]Member, len(v.ring))
 	for i, e := range v.ring {
@@ -156,6 +159,6 @@
 	return v.ring[number].State
 }
 
-// Health returns the local health score: 0 is healthy, and time-outs are
-// multiplied by the score + 1.
+// Health returns the local health score. 0 is healthy; time-outs are multiplied by
+// the score + 1.
 func (v *View) Health() int { return v.health.score }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// testMaxMessageBytes is the message size of the views under test.
+// testMaxMessageBytes is the maximum message size of the views under test.
 const testMaxMessageBytes = 250
 
-// testPeers returns a configured list of n members.
+// testPeers returns a configured list with n members.
 func testPeers(n int) []netip.AddrPort {
 	peers := make([]netip.AddrPort, n)
 	for i := range peers {
@@ -21,7 +21,7 @@
 	return peers
 }
 
-// startView returns the view of number 0 of n members, at its start.
+// startView returns the view of number 0 of n members, which has just started.
 func startView(n int) *View {
 	v := New(Options{Name: "n0", Peers: testPeers(n), MaxMessageBytes: testMaxMessageBytes}, 1)
 	v.Apply(0, Start{})
@@ -36,7 +36,7 @@
 	listSize    int
 }
 
-// gossipMessage returns a message of the sender that carries updates.
+// gossipMessage returns a gossip message of the sender that carries updates.
 func (s sender) gossipMessage(updates ...update) MessageReceived {
 	m := message{kind: gossip, incarnation: s.incarnation, bootID: s.bootID, name: fmt.Sprint("n", s.number),
 		listSize: uint32(s.listSize)}
@@ -44,7 +44,7 @@
 	return MessageReceived{Number: s.number, Message: b}
 }
 
-// updateGenerator draws updates of a fleet's members.
+// updateGenerator returns a generator of updates about the members of a fleet.
 func updateGenerator(size int) *rapid.Generator[update] {
 	return rapid.Custom(func(t *rapid.T) update {
 		return update{
@@ -84,15 +84,16 @@
 		duplicates := messages[:rapid.IntRange(0, len(messages)).Draw(t, "duplicates")]
 		reordered := rapid.Permutation(slices.Concat(messages, duplicates)).Draw(t, "order")
 		if a, b := merge(messages), merge(reordered); a != b {
-			t.Fatalf("%s\n%s", a, b)
+			t.Fatalf("views differ:\n%s\nand with duplicates, reordered:\n%s", a, b)
 		}
 	})
 }
 
-// TestSafety checks what is guaranteed whatever is received and whenever the timer
-// fires: no incarnation decreases, a dead member stays dead under its incarnation,
-// this front end is always alive to itself, and nobody is in the view who was not
-// named.
+// TestSafety checks the guarantees that hold for all received messages and times: no
+// incarnation decreases, a dead member stays dead under its incarnation, this front
+// end is always alive in its own view, and no member is added to a view of listed
+// members. It also checks that messages stay within their maximum size and that none
+// is sent to this front end itself.
 func TestSafety(t *testing.T) {
 	const size = 5
 	rapid.Check(t, func(t *rapid.T) {
@@ -103,16 +104,16 @@
 			nowMS += rapid.Float64Range(0, 2000).Draw(t, "ms")
 			for _, s := range v.Apply(nowMS, drawEvent(t, size)).Sends {
 				if len(s.Message) > testMaxMessageBytes || s.To.Number == 0 {
-					t.Fatalf("%d bytes to %d", len(s.Message), s.To.Number)
+					t.Fatalf("message of %d bytes to member %d", len(s.Message), s.To.Number)
 				}
 			}
 			members := v.Members()
 			if len(members) != size || members[0].State != Alive {
-				t.Fatalf("%v", members)
+				t.Fatalf("members: %v", members)
 			}
 			for i, m := range members {
 				if m.Incarnation < last[i].Incarnation || m.Incarnation == last[i].Incarnation && m.State < last[i].State {
-					t.Fatalf("%v after %v", m, last[i])
+					t.Fatalf("member is %v after %v", m, last[i])
 				}
 			}
 			last = members
@@ -120,7 +121,7 @@
 	})
 }
 
-// drawEvent draws a timer, or a message with some updates.
+// drawEvent draws a timer event, or a message with updates.
 func drawEvent(t *rapid.T, size int) Event {
 	if !rapid.Bool().Draw(t, "message") {
 		return TimerFired{}
@@ -134,24 +135,25 @@
 	return from.gossipMessage(rapid.SliceOfN(updateGenerator(size), 0, 4).Draw(t, "updates")...)
 }
 
-// TestRefutation checks that an update on this front end is refuted by a larger
-// incarnation, and that numbers of another list name nobody.
+// TestRefutation checks that an update about this front end is refuted with a larger
+// incarnation, and that updates by numbers of another list are ignored.
 func TestRefutation(t *testing.T) {
 	v := startView(4)
 	v.Apply(1, sender{1, 1, 5, 4}.gossipMessage(update{number: 0, incarnation: 8, state: Dead}))
 	if v.Incarnation() != 9 {
-		t.Errorf("incarnation %d after being declared dead at 8", v.Incarnation())
+		t.Errorf("incarnation %d after being declared dead at 8, want 9", v.Incarnation())
 	}
 	v.Apply(2, sender{1, 1, 5, 5}.gossipMessage(
 		update{number: 2, incarnation: 3, state: Alive},
 		update{number: 0, incarnation: 20, state: Dead}))
 	if v.State(2) != Unknown || v.Incarnation() != 9 {
-		t.Error("numbers of another list were accepted")
+		t.Error("updates by numbers of another list were accepted")
 	}
 }
 
-// TestReusedIncarnation checks that a second process under a name and incarnation
-// is told that its predecessor is dead, and lives under the next one.
+// TestReusedIncarnation checks that a new process that reuses its predecessor's name
+// and incarnation is notified that the predecessor is dead, and is alive under the
+// next incarnation.
 func TestReusedIncarnation(t *testing.T) {
 	v := startView(4)
 	v.Apply(1, sender{1, 1, 5, 4}.gossipMessage(update{number: 0, incarnation: 8, state: Dead}))
@@ -164,16 +166,16 @@
 		}
 	}
 	if !notified {
-		t.Error("another process sends under an incarnation and is not notified")
+		t.Error("a new process that reuses an incarnation is not notified")
 	}
 	v.Apply(1001, sender{1, 2, 6, 4}.gossipMessage())
 	if m := v.Members()[1]; m.State != Alive || m.Incarnation != 2 {
-		t.Error("the new process is not alive under its own incarnation")
+		t.Error("the new process is not alive under the next incarnation")
 	}
 }
 
-// TestPausedProcessDeclaresNoMemberDead checks that a process blames nobody for
-// messages that it missed during its own pause.
+// TestPausedProcessDeclaresNoMemberDead checks that a process does not declare members
+// dead because of messages that it missed during its own pause.
 func TestPausedProcessDeclaresNoMemberDead(t *testing.T) {
 	v := startView(3)
 	v.Apply(1, sender{1, 1, 5, 3}.gossipMessage())
@@ -183,9 +185,10 @@
 	}
 	effects := v.Apply(60_000, TimerFired{})
 	if len(effects.Changes) > 0 || v.Counters.Pauses != 1 || v.Converged() {
-		t.Errorf("after a pause: %v, %d pauses, converged %v", effects.Changes, v.Counters.Pauses, v.Converged())
+		t.Errorf("after a pause: changes %v, %d pauses, converged %v; want no changes, 1 pause, not converged",
+			effects.Changes, v.Counters.Pauses, v.Converged())
 	}
 	if v.State(1) == Dead || v.State(2) == Dead {
-		t.Error("a member was declared dead for missed messages")
+		t.Error("a member was declared dead because of messages missed during the pause")
 	}
 }
