--- a/internal/membershipsim/benchmark.go
+++ b/internal/membershipsim/benchmark.go
@@ -14,31 +14,31 @@
 	checkIntervalMS     = 100
 	crashCount          = 4
 	crashIntervalMS     = 12_000
-	slowDelayMS         = 1500 // by which slow processes are late in receiving, at most
-	slowProcessInterval = 10   // processes of which one is slow
-	warmUpMS            = 20_000
+	slowDelayMS         = 1500   // maximum additional receive delay of slow processes
+	slowProcessInterval = 10     // every slowProcessInterval-th process is slow
+	warmUpMS            = 20_000 // time after the start before RunSlow counts
 )
 
-// Results are the figures of one benchmark run. A negative time: not within a
-// minute.
+// Results are the results of one benchmark run. A negative time means that the event
+// did not occur within a minute.
 type Results struct {
 	Size                   int
 	Seed                   uint64
-	JoinMS                 float64 // from the start of all processes to convergence
-	IdleDatagramsPerSecond float64 // of each process, without changes
-	IdleDatagramBytes      float64 // mean size
-	CrashDetectionMS       []float64
-	MassFailure            RecoveryResult // seven in ten processes crash
-	Heal                   RecoveryResult // a partition in halves ends
+	JoinMS                 float64        // time from the start of all processes to convergence
+	IdleDatagramsPerSecond float64        // sent by each process while no member changes
+	IdleDatagramBytes      float64        // mean size of these datagrams
+	CrashDetectionMS       []float64      // time until a running process detected a crash
+	MassFailure            RecoveryResult // after seven in ten processes have crashed
+	Heal                   RecoveryResult // after a partition into halves has ended
 }
 
-// RecoveryResult tells how a fleet recovered.
+// RecoveryResult is the result of one recovery of a fleet.
 type RecoveryResult struct {
-	ElapsedMS          float64 // until the views agreed with the truth; negative: not within a minute
-	DatagramsPerSecond float64 // of each running process meanwhile
+	ElapsedMS          float64 // time until all views were correct; negative: not within a minute
+	DatagramsPerSecond float64 // sent by each running process in this time
 }
 
-// String returns the figures on one line.
+// String returns the results on one line.
 func (r Results) String() string {
 	const format = "%5d seed %2d  join %6.0f  idle %.2f/s of %.0f B  crash p50 %.0f p99 %.0f max %.0f" +
 		"  mass failure %.0f (%.1f/s)  healed %.0f (%.1f/s)"
@@ -61,11 +61,11 @@
 	return results
 }
 
-// isConsistent reports whether all views have converged on the truth.
+// isConsistent reports whether all views have converged and are correct.
 func (s *Simulation) isConsistent() bool { return s.Converged() && s.ViewMismatch() == "" }
 
-// elapsedUntil runs until a condition holds and returns the time that took;
-// negative: more than a minute.
+// elapsedUntil runs until a condition holds and returns the elapsed time; negative if
+// the condition does not hold within a minute.
 func (s *Simulation) elapsedUntil(condition func() bool) float64 {
 	startMS := s.NowMS
 	atMS, held := s.RunUntil(s.NowMS+minuteMS, checkIntervalMS, condition)
@@ -75,7 +75,7 @@
 	return atMS - startMS
 }
 
-// measureIdle measures what a fleet without changes sends.
+// measureIdle measures the datagrams that a fleet sends while no member changes.
 func (r *Results) measureIdle(s *Simulation) {
 	const idleSeconds = 30
 	before := s.TotalCounters()
@@ -87,7 +87,7 @@
 }
 
 // measureCrashes returns, for each crash and running process, the time until the
-// crashed one was declared dead.
+// running process considered the crashed process dead.
 func measureCrashes(s *Simulation) []float64 {
 	var detectionMS []float64
 	for range crashCount {
@@ -107,7 +107,7 @@
 	return detectionMS
 }
 
-// measureRecovery measures a fleet until a condition holds.
+// measureRecovery measures the time and the datagrams until a condition holds.
 func (s *Simulation) measureRecovery(running int, condition func() bool) RecoveryResult {
 	before := s.TotalCounters()
 	elapsedMS := s.elapsedUntil(condition)
@@ -118,7 +118,8 @@
 	}
 }
 
-// measureMassFailure measures the recovery of a fleet of which seven in ten crash.
+// measureMassFailure measures the recovery of a fleet in which seven in ten processes
+// crash.
 func measureMassFailure(options Options) RecoveryResult {
 	s := New(options)
 	s.Run(minuteMS)
@@ -129,7 +130,7 @@
 	return s.measureRecovery(options.Size-crashes, s.isConsistent)
 }
 
-// measureHeal measures how long a fleet differs after a partition in halves.
+// measureHeal measures the recovery of a fleet after a partition into halves.
 func measureHeal(options Options) RecoveryResult {
 	s := New(options)
 	s.Run(minuteMS)
@@ -141,14 +142,14 @@
 	return s.measureRecovery(options.Size, func() bool { return s.DigestCount() == 1 && s.ViewMismatch() == "" })
 }
 
-// FalsePositives tells how often running members were misjudged.
+// FalsePositives counts running members that were wrongly considered dead or suspect.
 type FalsePositives struct {
-	Dead               int // declarations and updates that held a running member dead
-	Suspicions         int
-	DatagramsPerSecond float64 // of each process
+	Dead               int     // changes of a running member to dead in a view
+	Suspicions         int     // changes of a member to suspect in a view
+	DatagramsPerSecond float64 // sent by each process
 }
 
-// RunLossy runs a fleet at Options.LossRate for a time.
+// RunLossy simulates a fleet at Options.LossRate for a time.
 func RunLossy(options Options, durationMS float64) FalsePositives {
 	var result FalsePositives
 	options.OnChange = func(s *Simulation, _ int, c membership.Change) {
@@ -164,9 +165,9 @@
 	return result
 }
 
-// RunSlow runs a fleet for a time in which one process in ten is short of
-// processor time: it receives each datagram late, while its timers are on time. The
-// result is of the other processes, once the fleet has started.
+// RunSlow simulates a fleet for a time in which one process in ten lacks processor
+// time: it receives each datagram late, while its timers are on time. The dead and
+// suspect members that are counted are the other processes, after warmUpMS.
 func RunSlow(options Options, durationMS float64) FalsePositives {
 	var result FalsePositives
 	isSlow := func(process int) bool { return process%slowProcessInterval == 0 }
@@ -179,7 +180,7 @@
 			result.Dead++
 		case membership.Suspect:
 			result.Suspicions++
-		default: // neither is a misjudgement
+		default: // the other states are not counted
 		}
 	}
 	options.MaxReceiveDelayMS = func(process int) float64 {
@@ -194,12 +195,14 @@
 	return result
 }
 
-// perProcessSecond returns the mean rate at which a process sent.
+// perProcessSecond returns the mean number of datagrams that a process sent per
+// second.
 func perProcessSecond(options Options, total membership.Counters, durationMS float64) float64 {
 	return float64(total.DatagramsSent) / (durationMS / 1000) / float64(options.Size)
 }
 
-// Quantile returns a quantile of values, which it sorts; negative: no values.
+// Quantile returns a quantile of values, which it sorts in place; -1 if there are no
+// values.
 func Quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return -1
--- a/internal/membershipsim/benchmark_test.go
+++ b/internal/membershipsim/benchmark_test.go
@@ -9,11 +9,11 @@
 )
 
 var (
-	benchmark      = flag.String("measure", "", "print figures: fleet, loss, busy, all")
-	seedCount      = flag.Int("seeds", 20, "runs of each size")
-	parallelRuns   = flag.Int("cores", runtime.NumCPU(), "runs at once")
+	benchmark      = flag.String("measure", "", "print benchmark results: fleet, loss, busy or all")
+	seedCount      = flag.Int("seeds", 20, "number of runs of each fleet size")
+	parallelRuns   = flag.Int("cores", runtime.NumCPU(), "number of runs in parallel")
 	onlySize       = flag.Int("only", 0, "fleet size; 0: all sizes")
-	lossyHours     = flag.Float64("hours", 1, "simulated hours with loss")
+	lossyHours     = flag.Float64("hours", 1, "simulated hours of each run with loss")
 	onlyLossRate   = flag.Float64("loss", 0, "loss rate; 0: 10% and 30%")
 	fleetSizes     = []int{300, 1000}
 	fleetLossRates = []float64{0.1, 0.3}
@@ -26,11 +26,11 @@
 	maxDetectionMS        = 8000
 	maxMassFailureMS      = 20_000
 	maxHealMS             = 10_000
-	maxDatagramsPerSecond = 3.0 // a second
+	maxDatagramsPerSecond = 3.0 // sent by each process
 )
 
-// forEachSeed runs f for seeds 1 to n, several at once, and returns the results in
-// the order of the seeds.
+// forEachSeed calls f for the seeds 1 to n, -cores of them in parallel, and returns
+// the results in the order of the seeds.
 func forEachSeed[T any](n int, f func(seed uint64) T) []T {
 	results := make([]T, n)
 	var running sync.WaitGroup
@@ -46,17 +46,19 @@
 	return results
 }
 
-// benchmarkSelected reports whether -measure asks for a group of figures.
+// benchmarkSelected reports whether -measure selects a group of benchmarks.
 func benchmarkSelected(group string) bool { return *benchmark == group || *benchmark == "all" }
 
-// TestMeasuredBounds holds a fleet to its bounds, on one seed and size; with -measure it
-// prints the figures of all seeds and sizes.
+// TestMeasuredBounds checks the bounds of detection times, recovery times and datagram
+// rates with one seed and size. With -measure it prints the results of all seeds and
+// sizes.
 func TestMeasuredBounds(t *testing.T) {
 	if *benchmark == "" {
 		checkBounds(t, Benchmark(Options{Seed: 1, Size: 100}))
 		result := RunLossy(Options{Seed: 1, Size: 60, LossRate: 0.1}, 600_000)
 		if result.Dead > 0 || result.DatagramsPerSecond > maxDatagramsPerSecond {
-			t.Errorf("10%% lost: %d running members held dead; %.2f datagrams a second", result.Dead, result.DatagramsPerSecond)
+			t.Errorf("10%% loss: running members considered dead %d times, want 0; %.2f datagrams per second, want at most %.2f",
+				result.Dead, result.DatagramsPerSecond, maxDatagramsPerSecond)
 		}
 		return
 	}
@@ -91,7 +93,7 @@
 		Quantile(crash, 0.5), Quantile(crash, 0.99), Quantile(mass, 0.5), Quantile(mass, 1),
 		Quantile(heal, 0.5), Quantile(heal, 1), Quantile(idle, 1))
 	baseline := RunHeartbeats(size, 1, 0)
-	t.Logf("%d: all-to-all heartbeats: crash p50 %.0f p99 %.0f; %.0f datagrams a second", size,
+	t.Logf("%d: all-to-all heartbeats: crash p50 %.0f p99 %.0f; %.0f datagrams per second", size,
 		Quantile(baseline.CrashDetectionMS, 0.5), Quantile(baseline.CrashDetectionMS, 0.99), baseline.DatagramsPerSecond)
 }
 
@@ -104,10 +106,11 @@
 		sum := sumFalsePositives(forEachSeed(*seedCount, func(seed uint64) FalsePositives {
 			return RunLossy(Options{Seed: seed, Size: size, LossRate: lossRate}, *lossyHours*hourMS)
 		}))
-		t.Logf("%d at %.0f%% loss, %.1f hours: running members held dead %d times, %d suspicions, %.2f datagrams a second", size,
+		t.Logf("%d at %.0f%% loss, %.1f hours: "+
+			"running members considered dead %d times, %d suspicions, %.2f datagrams per second", size,
 			lossRate*100, *lossyHours*float64(*seedCount), sum.Dead, sum.Suspicions, sum.DatagramsPerSecond)
 		if lossRate == 0.1 && sum.Dead > 0 {
-			t.Errorf("%d at 10%% loss: running members held dead %d times", size, sum.Dead)
+			t.Errorf("%d at 10%% loss: running members considered dead %d times, want 0", size, sum.Dead)
 		}
 	}
 }
@@ -118,13 +121,13 @@
 		sum := sumFalsePositives(forEachSeed(*seedCount, func(seed uint64) FalsePositives {
 			return RunSlow(Options{Seed: seed, Size: slowFleetSize, FixedTimeouts: fixed}, slowMinutes*minuteMS)
 		}))
-		t.Logf("one in ten of %d receives late, %d minutes, fixed time-outs %v: "+
-			"others held dead %d times, suspected %d times, %.2f datagrams a second",
+		t.Logf("one in ten of %d receives datagrams late, %d minutes, fixed time-outs %v: "+
+			"other members considered dead %d times, suspected %d times, %.2f datagrams per second",
 			slowFleetSize, slowMinutes, fixed, sum.Dead, sum.Suspicions, sum.DatagramsPerSecond)
 	}
 }
 
-// sumFalsePositives returns the sums, and the highest rate.
+// sumFalsePositives returns the sums of the counts, and the highest datagram rate.
 func sumFalsePositives(results []FalsePositives) FalsePositives {
 	var sum FalsePositives
 	for _, r := range results {
@@ -141,11 +144,11 @@
 	isWithin := func(value, limit float64) bool { return value >= 0 && value <= limit }
 	if !isWithin(detection, maxDetectionMS) || !isWithin(r.MassFailure.ElapsedMS, maxMassFailureMS) ||
 		!isWithin(r.Heal.ElapsedMS, maxHealMS) || r.IdleDatagramsPerSecond > maxDatagramsPerSecond {
-		t.Errorf("out of bounds: %v", r)
+		t.Errorf("results out of bounds: %v", r)
 	}
 }
 
-// TestQuantile checks the bounds of Quantile.
+// TestQuantile checks Quantile at the bounds, in the middle, and without values.
 func TestQuantile(t *testing.T) {
 	values := []float64{3, 1, 2}
 	for _, c := range []struct{ q, want float64 }{{0, 1}, {0.5, 2}, {1, 3}} {
@@ -154,6 +157,6 @@
 		}
 	}
 	if got := Quantile(slices.Clip(values[:0]), 0.5); got >= 0 {
-		t.Errorf("quantile of nothing is %v", got)
+		t.Errorf("quantile of no values is %v, want a negative value", got)
 	}
 }
--- a/internal/membershipsim/doc.go
+++ b/internal/membershipsim/doc.go
@@ -1,13 +1,14 @@
-// Package membershipsim runs a fleet of views (internal/membership) on a
-// simulated network and a virtual clock, in one goroutine: the same options and
-// seed always give the same run, at sizes that sockets don't reach.
+// Package membershipsim simulates a fleet of views (internal/membership) with a
+// simulated network and a virtual clock, in one goroutine. The same options and seed
+// always give the same run. A simulation can have more processes than a test with
+// sockets.
 //
 //   - simulation.go: the fleet, its processes and their faults
 //   - network.go: datagrams between processes
-//   - event.go: timers, datagrams and callbacks to come
-//   - inspect.go: comparison of the views with the truth
+//   - event.go: scheduled timers, datagrams and callbacks
+//   - inspect.go: comparison of the views with the actual state of the processes
 //   - benchmark.go: detection and convergence times, loss and slow processes
-//   - heartbeat.go: all-to-all heartbeats, a baseline to compare with
+//   - heartbeat.go: all-to-all heartbeats, a baseline for comparison
 //
-// It is test support and no part of the product.
+// The package supports tests and is not part of the product.
 package membershipsim
--- a/internal/membershipsim/event.go
+++ b/internal/membershipsim/event.go
@@ -1,6 +1,6 @@
 package membershipsim
 
-// eventKind is what an event brings.
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
@@ -9,12 +9,12 @@
 	callbackEvent
 )
 
-// event is something that happens at a time.
+// event is a scheduled event.
 type event struct {
 	kind       eventKind
-	to         int    // process of a timer or datagram
-	startCount int    // of a timer: the start of the process that set it; void after the next
-	from       int    // of a datagram
-	message    []byte // of a datagram
+	to         int    // for a timer or datagram: the process that receives it
+	startCount int    // for a timer: the process's start count when the timer was set; void after a restart
+	from       int    // for a datagram: the sending process
+	message    []byte // for a datagram
 	callback   func()
 }
--- a/internal/membershipsim/heartbeat.go
+++ b/internal/membershipsim/heartbeat.go
@@ -6,8 +6,8 @@
 	"dewhill/internal/timerheap"
 )
 
-// The baseline: heartbeats once a second to everybody, and a death after three
-// that did not arrive.
+// Constants of the baseline: each process sends a heartbeat per second to every other
+// process, and declares a process dead after three missing heartbeats.
 const (
 	heartbeatRNGStream  = 0x616c6c
 	heartbeatIntervalMS = 1000.0
@@ -19,24 +19,25 @@
 
 // HeartbeatResults are the figures of a run of all-to-all heartbeats.
 type HeartbeatResults struct {
-	CrashDetectionMS   []float64 // of each running process, for the one crash
-	FalseDeaths        int
-	DatagramsPerSecond float64 // of each process
+	CrashDetectionMS   []float64 // time until each running process detected the crash
+	FalseDeaths        int       // declarations of running processes as dead
+	DatagramsPerSecond float64   // sent by each process
 }
 
-// heartbeatFleet is a fleet in which every process sends to every other.
+// heartbeatFleet is a fleet in which every process sends heartbeats to every other
+// process.
 type heartbeatFleet struct {
 	rng            *rand.Rand
 	lossRate       float64
-	victim         int
+	victim         int         // the process that crashes
 	lastReceivedMS [][]float64 // by receiver and sender
 	dead           [][]bool    // by observer and member
 	queue          timerheap.Queue[event]
-	sent           int
+	sent           int // datagrams
 	results        HeartbeatResults
 }
 
-// RunHeartbeats runs a fleet with all-to-all heartbeats, in which one process
+// RunHeartbeats simulates a fleet with all-to-all heartbeats in which one process
 // crashes.
 func RunHeartbeats(size int, seed uint64, lossRate float64) HeartbeatResults {
 	f := &heartbeatFleet{rng: rand.New(rand.NewPCG(seed, heartbeatRNGStream)), lossRate: lossRate}
@@ -76,7 +77,7 @@
 	f.queue.Add(nowMS+heartbeatIntervalMS, event{kind: timerEvent, to: process})
 }
 
-// checkTimeout declares a member dead whose heartbeats have not arrived.
+// checkTimeout declares a member dead if its heartbeats have timed out at an observer.
 func (f *heartbeatFleet) checkTimeout(observer, member int, nowMS float64) {
 	timedOut := nowMS-f.lastReceivedMS[observer][member] > heartbeatTimeoutMS
 	if nowMS <= heartbeatWarmUpMS || !timedOut || f.dead[observer][member] {
--- a/internal/membershipsim/inspect.go
+++ b/internal/membershipsim/inspect.go
@@ -6,7 +6,7 @@
 	"dewhill/internal/membership"
 )
 
-// addCounters adds counters to a sum.
+// addCounters adds the counters c to sum.
 func addCounters(sum, c *membership.Counters) {
 	sum.Probes += c.Probes
 	sum.FailedProbes += c.FailedProbes
@@ -20,7 +20,7 @@
 	sum.Malformed += c.Malformed
 }
 
-// TotalCounters returns the sums over all processes there have been.
+// TotalCounters returns the sums over all processes, including those that have ended.
 func (s *Simulation) TotalCounters() membership.Counters {
 	total := s.endedCounters
 	for _, v := range s.Views {
@@ -34,8 +34,8 @@
 // isActive reports whether a process is running and not paused.
 func (s *Simulation) isActive(i int) bool { return s.Views[i] != nil && !s.processes[i].paused }
 
-// Converged reports whether all active processes have one digest and report that
-// they have converged.
+// Converged reports whether all active processes have the same digest and report
+// convergence.
 func (s *Simulation) Converged() bool {
 	var first *membership.View
 	for i, v := range s.Views {
@@ -52,7 +52,7 @@
 	return true
 }
 
-// DigestCount counts the different digests of active processes.
+// DigestCount returns the number of different digests among active processes.
 func (s *Simulation) DigestCount() int {
 	digests := map[uint64]bool{}
 	for i, v := range s.Views {
@@ -63,8 +63,9 @@
 	return len(digests)
 }
 
-// ViewMismatch describes the first difference of a view from the truth: a running
-// process that it does not hold alive, or an ended one that it does; empty: none.
+// ViewMismatch describes the first difference between a view and the actual state of
+// the processes: a running process that is not alive in the view, or an ended process
+// that is. It returns an empty string if there is no difference.
 func (s *Simulation) ViewMismatch() string {
 	for i, v := range s.Views {
 		if v == nil {
@@ -77,7 +78,8 @@
 	return ""
 }
 
-// mismatchOf describes the first difference of one view from the truth.
+// mismatchOf describes the first difference between one view and the actual state of
+// the processes.
 func (s *Simulation) mismatchOf(observer int, v *membership.View) string {
 	listed := map[string]bool{}
 	for i, m := range v.Members() {
@@ -86,10 +88,10 @@
 			process = s.processByAddr[m.Addr]
 			listed[m.Name] = true
 		}
-		heldAlive := m.State == membership.Alive || m.State == membership.Suspect
+		live := m.State == membership.Alive || m.State == membership.Suspect
 		running := s.Views[process] != nil
-		if heldAlive != running {
-			return fmt.Sprintf("front end %d holds %d as %v, incarnation %d; running: %v",
+		if live != running {
+			return fmt.Sprintf("front end %d has member %d as %v, incarnation %d; running: %v",
 				observer, process, m.State, m.Incarnation, running)
 		}
 	}
@@ -98,14 +100,14 @@
 	}
 	for process, other := range s.Views {
 		if other != nil && !listed[name(process)] {
-			return fmt.Sprintf("front end %d doesn't know %d", observer, process)
+			return fmt.Sprintf("front end %d does not list member %d", observer, process)
 		}
 	}
 	return ""
 }
 
-// UnnamedCount counts, over all views, members that were heard of and whose name
-// is not known.
+// UnnamedCount returns the number of members, over all views, whose state is known
+// but whose name is not.
 func (s *Simulation) UnnamedCount() int {
 	unnamed := 0
 	for _, v := range s.Views {
--- a/internal/membershipsim/network.go
+++ b/internal/membershipsim/network.go
@@ -5,11 +5,12 @@
 	"dewhill/internal/peer"
 )
 
-// maxPendingDatagrams is how many datagrams the socket of a paused process holds.
+// maxPendingDatagrams is the number of datagrams that the socket of a paused process
+// buffers.
 const maxPendingDatagrams = 200
 
-// send gives a datagram to the network, which may lose, delay, duplicate or
-// corrupt it.
+// send sends a datagram through the simulated network, which may lose, delay,
+// duplicate or corrupt it.
 func (s *Simulation) send(from int, datagram membership.Send) {
 	to, found := s.receiver(datagram)
 	if !found || s.RNG.Float64() < s.Options.LossRate {
@@ -35,7 +36,7 @@
 	}
 }
 
-// receiver returns the process that a datagram goes to.
+// receiver returns the process that a datagram is addressed to.
 func (s *Simulation) receiver(datagram membership.Send) (process int, found bool) {
 	if datagram.To.Number >= 0 {
 		return datagram.To.Number, true
@@ -44,7 +45,8 @@
 	return process, found
 }
 
-// deliver gives a datagram to its receiver, or keeps it while that is paused.
+// deliver delivers a datagram to its receiver, or buffers it while the receiver is
+// paused.
 func (s *Simulation) deliver(e event) {
 	if s.Views[e.to] == nil {
 		return
--- a/internal/membershipsim/simulation.go
+++ b/internal/membershipsim/simulation.go
@@ -15,44 +15,44 @@
 	rngStream         = 0x73696d
 	defaultMinDelayMS = 1.7
 	defaultMaxDelayMS = 31
-	startWindowMS     = 1000 // within which the processes of a fleet start
+	startWindowMS     = 1000 // time within which the processes of a fleet start
 	port              = 7946
 )
 
-// Options describe a run.
+// Options configure a run.
 type Options struct {
 	Seed          uint64
-	Size          int
-	MinDelayMS    float64 // of a datagram on its way; with MaxDelayMS 0 both have defaults
-	MaxDelayMS    float64
+	Size          int     // number of processes
+	MinDelayMS    float64 // minimum network delay of a datagram; both delays have defaults if MaxDelayMS is 0
+	MaxDelayMS    float64 // maximum network delay of a datagram
 	LossRate      float64 // fraction of the datagrams that is lost throughout the run
 	Faults        faultplan.Timeline
 	Times         membership.Times // zero value: the defaults
 	FixedTimeouts bool             // without local health, as a baseline
-	SeedCount     int              // > 0: no configured lists; the first so many addresses are seeds
-	StartTogether bool             // else within startWindowMS
-	// MaxReceiveDelayMS returns by how much a process may be late in receiving; nil:
-	// none is.
+	SeedCount     int              // > 0: no configured lists; the first SeedCount addresses are seeds
+	StartTogether bool             // all processes start at time 0; otherwise within startWindowMS
+	// MaxReceiveDelayMS returns the maximum delay with which a process receives
+	// datagrams, in addition to the network delay; nil: no additional delay.
 	MaxReceiveDelayMS func(process int) float64
-	// OnChange sees each change of each view; nil: not wanted.
+	// OnChange is called for each change in each view; nil: no callback.
 	OnChange func(s *Simulation, observer int, c membership.Change)
 }
 
-// process is the part of a simulated process that is not its view.
+// process is the state of a simulated process, without its view.
 type process struct {
-	startCount int
+	startCount int // number of starts so far
 	paused     bool
-	pending    []event // datagrams that came while it was paused
-	wakeAtMS   float64 // when it is woken next
+	pending    []event // datagrams received while it is paused
+	wakeAtMS   float64 // time of its next timer event
 }
 
-// Simulation is a running fleet. It is not safe for concurrent use.
+// Simulation is a simulated fleet. It is not safe for concurrent use.
 type Simulation struct {
 	Options Options
 	NowMS   float64
 	Views   []*membership.View // by process; nil: not running
 	RNG     *rand.Rand
-	Events  int // handled so far
+	Events  int // number of events handled so far
 
 	processes     []process
 	addrs         []netip.AddrPort // by process
@@ -61,7 +61,8 @@
 	endedCounters membership.Counters // of processes that have ended
 }
 
-// New returns a simulation whose processes start at time 0 or shortly after.
+// New returns a simulation whose processes start at time 0 or, unless
+// Options.StartTogether is set, within startWindowMS.
 func New(options Options) *Simulation {
 	if options.MaxDelayMS == 0 {
 		options.MinDelayMS = defaultMinDelayMS
@@ -93,7 +94,7 @@
 	return s
 }
 
-// After calls a function after a time.
+// After schedules a call of a function after a time.
 func (s *Simulation) After(ms float64, callback func()) {
 	s.queue.Add(s.NowMS+ms, event{kind: callbackEvent, callback: callback})
 }
@@ -122,8 +123,8 @@
 	s.NowMS = untilMS
 }
 
-// RunUntil runs until a condition holds, which it checks at an interval, and
-// returns when it held; false: not before the deadline.
+// RunUntil runs until a condition holds, which it checks at an interval, or until the
+// deadline. It returns the time at which it stopped and whether the condition held.
 func (s *Simulation) RunUntil(deadlineMS, intervalMS float64, condition func() bool) (atMS float64, held bool) {
 	for s.NowMS < deadlineMS {
 		s.Run(s.NowMS + intervalMS)
@@ -164,7 +165,7 @@
 	s.apply(i, membership.Start{})
 }
 
-// KillProcess ends a process without notice.
+// KillProcess ends a process without a shutdown.
 func (s *Simulation) KillProcess(i int) {
 	if v := s.Views[i]; v != nil {
 		addCounters(&s.endedCounters, &v.Counters)
@@ -174,10 +175,11 @@
 	s.processes[i].pending = nil
 }
 
-// PauseProcess pauses a running process: it handles nothing until it is resumed.
+// PauseProcess pauses a running process. It handles no events until it is resumed.
 func (s *Simulation) PauseProcess(i int) { s.processes[i].paused = s.Views[i] != nil }
 
-// ResumeProcess resumes a paused process, which first handles what came meanwhile.
+// ResumeProcess resumes a paused process, which first handles the datagrams received
+// during the pause.
 func (s *Simulation) ResumeProcess(i int) {
 	p := &s.processes[i]
 	if !p.paused {
@@ -192,8 +194,8 @@
 	s.fireTimer(i)
 }
 
-// beginFault begins a fault of processes; those of the network act on each
-// datagram.
+// beginFault begins a fault of processes. Network faults are ignored here; send
+// applies them to each datagram.
 func (s *Simulation) beginFault(fault faultplan.Fault) {
 	for _, i := range fault.Targets {
 		switch fault.Kind {
@@ -206,12 +208,12 @@
 			s.KillProcess(i)
 		case faultplan.ProcessPause:
 			s.PauseProcess(i)
-		default: // a fault of the network
+		default: // a network fault
 		}
 	}
 }
 
-// endFault ends a fault of processes.
+// endFault ends a fault of processes. Network faults are ignored here.
 func (s *Simulation) endFault(fault faultplan.Fault) {
 	for _, i := range fault.Targets {
 		switch fault.Kind {
@@ -219,12 +221,12 @@
 			s.StartProcess(i)
 		case faultplan.ProcessPause:
 			s.ResumeProcess(i)
-		default: // a fault of the network
+		default: // a network fault
 		}
 	}
 }
 
-// apply gives a view an event and carries out its effects.
+// apply applies an event to a view and carries out the effects.
 func (s *Simulation) apply(i int, ev membership.Event) {
 	effects := s.Views[i].Apply(s.NowMS, ev)
 	if s.Options.OnChange != nil {
@@ -238,7 +240,8 @@
 	s.scheduleTimer(i)
 }
 
-// scheduleTimer has a view woken when its timer is due, unless it is woken before.
+// scheduleTimer schedules a timer event at the time when a view's timer is due, unless
+// an earlier one is already scheduled.
 func (s *Simulation) scheduleTimer(i int) {
 	p := &s.processes[i]
 	next := s.Views[i].NextTimerMS()
@@ -248,7 +251,8 @@
 	}
 }
 
-// fireTimer wakes a running process if its timer is due.
+// fireTimer applies TimerFired to a running process's view if its timer is due, and
+// otherwise schedules the timer.
 func (s *Simulation) fireTimer(i int) {
 	v := s.Views[i]
 	if v == nil || s.processes[i].paused {
