--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -55,7 +55,7 @@
 		disabled:     map[string]bool{},
 		everListed:   map[string]bool{},
 	}
-	if !f.cfg.operatorsMayCall() {
+	if !f.cfg.operatorAPIEnabled() {
 		return a, nil
 	}
 	state, err := a.handover.read()
@@ -129,15 +129,15 @@
 // handOver sends clients to the next process.
 func (a *adminController) handOver() {
 	a.handedOver = true
-	a.updateService()
+	a.updateDraining()
 }
 
-// updateService has the HTTP server send clients away or take them.
-func (a *adminController) updateService() {
-	a.frontEnd.httpServer.SetDraining(!a.takesClients())
+// updateDraining has the HTTP server send clients away or take them.
+func (a *adminController) updateDraining() {
+	a.frontEnd.httpServer.SetDraining(!a.acceptsClients())
 }
 
-func (a *adminController) takesClients() bool {
+func (a *adminController) acceptsClients() bool {
 	return !a.outOfService && !a.handedOver && a.caughtUp()
 }
 
@@ -148,7 +148,7 @@
 // Ready reports whether this process takes clients.
 func (a *adminController) Ready() bool {
 	ready := false
-	a.frontEnd.loop.runAndWait(func() { ready = a.takesClients() && !a.frontEnd.shuttingDown })
+	a.frontEnd.loop.runAndWait(func() { ready = a.acceptsClients() && !a.frontEnd.shuttingDown })
 	return ready
 }
 
@@ -159,14 +159,14 @@
 	if f.cfg.replicates() {
 		return a.writeOverride(replication.Key{Kind: replication.FrontEnd, ID: f.cfg.Name}, !inService)
 	}
-	f.loop.runAndWait(func() { a.applyService(inService) })
+	f.loop.runAndWait(func() { a.applyInService(inService) })
 	return nil
 }
 
-func (a *adminController) applyService(inService bool) {
+func (a *adminController) applyInService(inService bool) {
 	a.outOfService = !inService
 	a.frontEnd.loop.Logf("in service: %v", inService)
-	a.updateService()
+	a.updateDraining()
 }
 
 // CountersJSON returns the figures that operators fetch, as JSON.
--- a/internal/server/compat_config_test.go
+++ b/internal/server/compat_config_test.go
@@ -37,7 +37,7 @@
 	expectEqual(t, "peers_all", c.PeersAll, "127.0.0.9:7000")
 	expectEqual(t, "board", c.DiscoveryAddress, "127.0.0.1:9000")
 	expectEqual(t, "control", c.ControlListen, "127.0.0.1:9100")
-	checkKnownUpdates(t, &c.KnownUpdates)
+	checkInitialUpdates(t, &c.InitialUpdates)
 	checkSettings(t, &c.Settings)
 	checkControl(t, &c.Settings)
 	checkNoneZero(t, "config", reflect.ValueOf(*c))
@@ -51,8 +51,8 @@
 	}
 }
 
-// checkKnownUpdates checks the golden configuration's updates of the endpoint list.
-func checkKnownUpdates(t *testing.T, updates *discovery.Updates) {
+// checkInitialUpdates checks the golden configuration's updates of the endpoint list.
+func checkInitialUpdates(t *testing.T, updates *discovery.Updates) {
 	t.Helper()
 	endpoints := []discovery.Endpoint{
 		{
--- a/internal/server/compat_counters_test.go
+++ b/internal/server/compat_counters_test.go
@@ -96,7 +96,7 @@
 	f.httpServer.Counters.Classes[0].Served = 33
 	f.httpServer.Counters.Classes[0].Rejected = 34
 	f.httpServer.Counters.Classes[0].Failed = 35
-	f.applyUpdates(&f.cfg.KnownUpdates) // one engine that is active, one draining and one removed
+	f.applyUpdates(&f.cfg.InitialUpdates) // one engine that is active, one draining and one removed
 	text := runPosted(f, f.admin.CountersJSON)
 	checkValues(t, "control-counters.json", text)
 }
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -23,13 +23,13 @@
 	Name             string            `json:"name"`
 	Listen           string            `json:"listen"` // where clients connect
 	Seed             string            `json:"seed"`   // of random choices, hexadecimal
-	Limits           MachineLimits     `json:"limits"`
+	Limits           ResourceLimits    `json:"limits"`
 	PeerListen       string            `json:"peer_listen"` // where peers send datagrams; empty: nowhere
 	Peers            []string          `json:"peers"`
 	PeersAll         string            `json:"peers_all"` // one address that reaches all peers; empty: none
 	DiscoveryAddress string            `json:"board"`
 	ControlListen    string            `json:"control"` // where operators call; empty: nowhere
-	KnownUpdates     discovery.Updates `json:"known"`
+	InitialUpdates   discovery.Updates `json:"known"`
 	Settings         simproto.Settings `json:"settings"`
 
 	seed uint64
@@ -39,9 +39,9 @@
 	Cluster cluster.Options `json:"-"`
 }
 
-// MachineLimits are what the platform gives a front end to run on. 0: not limited,
+// ResourceLimits are what the platform gives a front end to run on. 0: not limited,
 // or for sockets the default.
-type MachineLimits struct {
+type ResourceLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
@@ -113,11 +113,11 @@
 	if err := c.validateAddresses(); err != nil {
 		return err
 	}
-	c.KnownUpdates.SortByRevision()
-	if err := c.KnownUpdates.Validate(); err != nil {
+	c.InitialUpdates.SortByRevision()
+	if err := c.InitialUpdates.Validate(); err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	if c.DiscoveryAddress == "" && len(c.KnownUpdates.Updates) == 0 {
+	if c.DiscoveryAddress == "" && len(c.InitialUpdates.Updates) == 0 {
 		return errors.New("neither board nor known: no engine can be found")
 	}
 	if err := validateSettings(&c.Settings); err != nil {
@@ -155,9 +155,9 @@
 	return nil
 }
 
-// operatorsMayCall reports whether there is an address for operators. Upgrades are
+// operatorAPIEnabled reports whether there is an address for operators. Upgrades are
 // theirs: only then may two processes share the front end's addresses.
-func (c *Config) operatorsMayCall() bool { return c.ControlListen != "" }
+func (c *Config) operatorAPIEnabled() bool { return c.ControlListen != "" }
 
 // replicates reports whether the state of the fleet is configured to be replicated.
 func (c *Config) replicates() bool { return c.Cluster.Enabled && c.Cluster.Replication.Enabled }
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -17,21 +17,21 @@
 // RequestCounters count the requests and attempts of a loop, and how long it was
 // blocked.
 type RequestCounters struct {
-	Events            int            `json:"Events"` // posted to the loop, urgent ones aside
-	Submitted         int            `json:"Taken"`
-	Served            int            `json:"Served"`
-	Rejected          int            `json:"Refused"`
-	Failed            int            `json:"Failed"`
-	Abandoned         int            `json:"Gone"` // by clients that disconnected
-	AttemptsStarted   int            `json:"Starts"`
-	AttemptsCancelled int            `json:"Stops"`
-	LateAnswers       int            `json:"Late"`       // responses after the client's deadline
-	MaxAnswerDelayMS  float64        `json:"WorstLate"`  // past the deadline
-	MaxReadDelayMS    float64        `json:"WorstRead"`  // from reading a request to its event
-	MaxTimerDelayMS   float64        `json:"WorstWake"`  // of the dispatcher's timers
-	MaxEventMS        float64        `json:"WorstEvent"` // for which one event blocked the loop
-	Stalls            int            `json:"Stalls"`     // events that blocked it beyond stallThresholdMS
-	AttemptResults    map[string]int `json:"Results"`    // by name
+	Events             int            `json:"Events"` // posted to the loop, urgent ones aside
+	Submitted          int            `json:"Taken"`
+	Served             int            `json:"Served"`
+	Rejected           int            `json:"Refused"`
+	Failed             int            `json:"Failed"`
+	Abandoned          int            `json:"Gone"` // by clients that disconnected
+	AttemptsStarted    int            `json:"Starts"`
+	AttemptsCancelled  int            `json:"Stops"`
+	LateResponses      int            `json:"Late"`       // responses after the client's deadline
+	MaxResponseDelayMS float64        `json:"WorstLate"`  // past the deadline
+	MaxReadDelayMS     float64        `json:"WorstRead"`  // from reading a request to its event
+	MaxTimerDelayMS    float64        `json:"WorstWake"`  // of the dispatcher's timers
+	MaxEventMS         float64        `json:"WorstEvent"` // for which one event blocked the loop
+	Stalls             int            `json:"Stalls"`     // events that blocked it beyond stallThresholdMS
+	AttemptResults     map[string]int `json:"Results"`    // by name
 }
 
 // platformCounters count what a platform front end receives besides requests.
@@ -45,8 +45,8 @@
 	FailedReloads   int `json:"BadReloads"`
 	EmptySnapshots  int `json:"EmptyLists"` // that were ignored
 
-	Listed      int     `json:"Listed"`      // engines in the list, removed ones among them
-	MaxUpdateMS float64 `json:"WorstNotice"` // that the longest change of the list took
+	ListedEngines int     `json:"Listed"`      // engines in the list, removed ones among them
+	MaxUpdateMS   float64 `json:"WorstNotice"` // that the longest change of the list took
 
 	UnexpectedDatagrams int `json:"Foreign,omitempty"` // of a kind that is not handled here
 }
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -14,7 +14,7 @@
 // from then on requests are sent.
 func (f *platformFrontEnd) startDiscovery() {
 	f.discoveryStarted = true
-	f.applyUpdates(&f.cfg.KnownUpdates)
+	f.applyUpdates(&f.cfg.InitialUpdates)
 	f.watchDiscovery(f.cfg.DiscoveryAddress)
 }
 
@@ -78,7 +78,7 @@
 		// Once the dispatcher knows, or it would send there again.
 		f.enginePool.WithdrawUnwritten()
 	}
-	f.counters.Listed = len(f.endpoints.engines)
+	f.counters.ListedEngines = len(f.endpoints.engines)
 	f.counters.MaxUpdateMS = max(f.counters.MaxUpdateMS, f.loop.Now()-startMS)
 }
 
@@ -95,7 +95,7 @@
 		return false
 	}
 	snapshot, endpoints := update.Endpoints.Snapshot, update.Endpoints.Endpoints
-	if f.endpoints.isEmptyingSnapshot(snapshot, len(endpoints)) {
+	if f.endpoints.wouldEmptyList(snapshot, len(endpoints)) {
 		f.counters.EmptySnapshots++
 		f.loop.Logf("endpoint update %d: snapshot without engines ignored, the last list stays in use", update.Revision)
 		return false
--- a/internal/server/endpointtable.go
+++ b/internal/server/endpointtable.go
@@ -15,11 +15,11 @@
 	slowStartSubset subset.Selector // among all that are configured, where some are not alive
 	coresByKind     []int           // of an engine of each kind
 
-	engines    []control.EngineInfo // in the order in which they were first listed
-	indexByID  map[string]int       // in engines
-	overridden map[string]bool      // ids that operators have named: the dispatcher is always shown them
-	outside    []bool               // of engines, as selected last: usable, and not in the subset
-	hasRemoved bool                 // some of engines have been removed
+	engines       []control.EngineInfo // in the order in which they were first listed
+	indexByID     map[string]int       // in engines
+	overridden    map[string]bool      // ids that operators have named: the dispatcher is always shown them
+	outsideSubset []bool               // of engines, as selected last: usable, and not in the subset
+	hasRemoved    bool                 // some of engines have been removed
 }
 
 // newEndpointTable returns an empty list of a front end that selects its subset by
@@ -33,11 +33,11 @@
 	}
 }
 
-// isEmptyingSnapshot reports whether a list with so many entries would leave this
+// wouldEmptyList reports whether a list with so many entries would leave this
 // front end no engine that the last one has. It guards against a snapshot that was
 // cut off, or made before its source knew anything: engines are drained and removed
 // by name.
-func (t *endpointTable) isEmptyingSnapshot(snapshot bool, entries int) bool {
+func (t *endpointTable) wouldEmptyList(snapshot bool, entries int) bool {
 	return snapshot && entries == 0 && t.listedCount() > 0
 }
 
@@ -45,7 +45,7 @@
 // not, and reports whether it was hidden so far.
 func (t *endpointTable) markOverridden(id string) (hidden bool) {
 	i, listed := t.indexByID[id]
-	hidden = listed && i < len(t.outside) && t.outside[i] && !t.overridden[id]
+	hidden = listed && i < len(t.outsideSubset) && t.outsideSubset[i] && !t.overridden[id]
 	t.overridden[id] = true
 	return hidden
 }
@@ -90,7 +90,7 @@
 	all := t.selectSubset()
 	visible := []control.EngineInfo{}
 	for i, e := range all {
-		if !t.outside[i] || t.overridden[e.ID] {
+		if !t.outsideSubset[i] || t.overridden[e.ID] {
 			visible = append(visible, e)
 		}
 	}
@@ -105,16 +105,16 @@
 	}
 	t.hasRemoved = false
 	clear(t.indexByID)
-	engines, outside := t.engines[:0], t.outside[:0]
+	engines, outside := t.engines[:0], t.outsideSubset[:0]
 	for i, e := range t.engines {
 		if e.Removed {
 			continue
 		}
 		t.indexByID[e.ID] = len(engines)
 		engines = append(engines, e)
-		outside = append(outside, t.outside[i])
+		outside = append(outside, t.outsideSubset[i])
 	}
-	t.engines, t.outside = engines, outside
+	t.engines, t.outsideSubset = engines, outside
 }
 
 // selectSubset returns the whole list, with how many front ends share each engine,
@@ -123,14 +123,14 @@
 func (t *endpointTable) selectSubset() []control.EngineInfo {
 	candidates := t.candidates()
 	selected := slices.Clone(t.engines)
-	t.outside = make([]bool, len(t.engines))
+	t.outsideSubset = make([]bool, len(t.engines))
 	for _, member := range t.subset.Select(t.plan, candidates) {
 		i := t.indexByID[member.EngineID]
 		e := &selected[i]
 		e.GatewayCount = member.GatewayCount
 		e.GatewayIndex = member.GatewayIndex
 		e.Draining = !member.Selected
-		t.outside[i] = !member.Selected
+		t.outsideSubset[i] = !member.Selected
 	}
 	if t.plan.Alive != nil {
 		t.divideSlowStart(selected, candidates)
--- a/internal/server/endpointtable_test.go
+++ b/internal/server/endpointtable_test.go
@@ -83,15 +83,15 @@
 // it says last, and a shorter one removes the rest.
 func TestEndpointTableMalformedSnapshots(t *testing.T) {
 	table := newEndpointTable(subset.Plan{GatewayIndex: 1, GatewayCount: 2, Size: subset.AutoSize}, []int{8})
-	if table.isEmptyingSnapshot(true, 0) {
+	if table.wouldEmptyList(true, 0) {
 		t.Error("a first list without engines is ignored")
 	}
 	engines := makeEngines(4)
 	mergeAndSelect(table, true, engines)
-	if !table.isEmptyingSnapshot(true, 0) {
+	if !table.wouldEmptyList(true, 0) {
 		t.Error("a snapshot without engines is applied")
 	}
-	if table.isEmptyingSnapshot(false, 0) || table.isEmptyingSnapshot(true, 1) {
+	if table.wouldEmptyList(false, 0) || table.wouldEmptyList(true, 1) {
 		t.Error("an update that is not a snapshot without engines is ignored")
 	}
 	draining := engines[2]
@@ -105,7 +105,7 @@
 		removed[i].Removed = true
 	}
 	mergeAndSelect(table, false, removed)
-	if table.isEmptyingSnapshot(true, 0) {
+	if table.wouldEmptyList(true, 0) {
 		t.Error("a list without engines is ignored though all were removed")
 	}
 }
--- a/internal/server/enginestarts.go
+++ b/internal/server/enginestarts.go
@@ -51,8 +51,8 @@
 	if statedAtMS <= 0 {
 		return 0
 	}
-	if known, found := s.byID[id]; found && known.statedAtMS == statedAtMS {
-		return known.startedAtMS
+	if start, found := s.byID[id]; found && start.statedAtMS == statedAtMS {
+		return start.startedAtMS
 	}
 	if s.byID == nil || len(s.byID) >= maxEngineStarts {
 		s.byID = map[string]engineStart{}
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -186,23 +186,23 @@
 		return
 	}
 	l.applying = true
-	l.applyEffects(ev)
+	l.applyEvent(ev)
 	for len(l.pendingEvents) > 0 {
 		next := l.pendingEvents[0]
 		l.pendingEvents = l.pendingEvents[1:]
-		l.applyEffects(next)
+		l.applyEvent(next)
 	}
 	l.applying = false
 }
 
-func (l *EventLoop) applyEffects(ev dispatch.Event) {
+func (l *EventLoop) applyEvent(ev dispatch.Event) {
 	for _, effect := range l.dispatcher.Apply(l.Now(), ev) {
-		l.carryOut(effect)
+		l.executeEffect(effect)
 	}
 }
 
-// carryOut does what the dispatcher has decided.
-func (l *EventLoop) carryOut(effect dispatch.Effect) {
+// executeEffect does what the dispatcher has decided.
+func (l *EventLoop) executeEffect(effect dispatch.Effect) {
 	switch e := effect.(type) {
 	case dispatch.StartAttempt:
 		l.startAttempt(e)
@@ -212,7 +212,7 @@
 	case dispatch.SetPriority:
 		l.backend.SetPriority(e)
 	case dispatch.Answer:
-		l.answer(e)
+		l.respond(e)
 	case dispatch.RequestClosed:
 		l.requestLog.requestClosed(l.Now(), e)
 	case dispatch.ProbeEngine:
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -50,21 +50,21 @@
 	}
 	f.loop.requestLog.classes = cfg.classNames()
 	f.loop.countersReport = f.report
-	limits := divideDescriptors(cfg.Limits.Sockets, cfg.operatorsMayCall())
+	limits := divideDescriptors(cfg.Limits.Sockets, cfg.operatorAPIEnabled())
 	f.enginePool = f.newEnginePool(limits.engines)
 	f.loop.backend = f.enginePool
 	f.httpServer = f.newHTTPServer(settings, limits.clients)
 	if f.admin, err = newAdminController(f, limits.operators); err != nil {
 		return nil, nil, fmt.Errorf("control: %w", err)
 	}
-	listener, err := listen(cfg.Listen, cfg.operatorsMayCall())
+	listener, err := listen(cfg.Listen, cfg.operatorAPIEnabled())
 	if err != nil {
 		return nil, nil, err
 	}
 	if err := f.openPeers(settings); err != nil {
 		return nil, nil, err
 	}
-	if f.sharesState() {
+	if f.replicatesState() {
 		f.httpServer.SetDraining(true) // clients are sent away until CaughtUp
 		f.cluster.WatchOverrides(f.admin)
 	} else {
@@ -138,9 +138,9 @@
 	})
 }
 
-// sharesState reports whether this front end has a part in the fleet's replicated
+// replicatesState reports whether this front end has a part in the fleet's replicated
 // state.
-func (f *platformFrontEnd) sharesState() bool { return f.cluster != nil && f.cluster.Replicates() }
+func (f *platformFrontEnd) replicatesState() bool { return f.cluster != nil && f.cluster.Replicates() }
 
 // Serve accepts clients until the listener is closed.
 func (f *platformFrontEnd) Serve(listener net.Listener) { f.httpServer.Serve(listener) }
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -80,7 +80,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.pending[engine] = disabled
-	err := h.record(h.restore)
+	err := h.record(h.restoreIfMissing)
 	return h.current(), err
 }
 
@@ -95,11 +95,11 @@
 func (h *handoverFile) recordPending() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.record(h.restore)
+	return h.record(h.restoreIfMissing)
 }
 
-// restore is a change that puts back what was recorded, where the file is gone.
-func (h *handoverFile) restore(state *handoverState) {
+// restoreIfMissing is a change that puts back what was recorded, where the file is gone.
+func (h *handoverFile) restoreIfMissing(state *handoverState) {
 	if state.Version == 0 {
 		*state = h.recorded.clone()
 	}
--- a/internal/server/mysqlfrontend.go
+++ b/internal/server/mysqlfrontend.go
@@ -10,8 +10,8 @@
 	"dewhill/internal/mysql"
 )
 
-// errMySQLOff is the error of a reload that would turn the MySQL front end off.
-var errMySQLOff = errors.New("there is no file, or it says off")
+// errMySQLDisabled is the error of a reload that would turn the MySQL front end off.
+var errMySQLDisabled = errors.New("there is no file, or it says off")
 
 // MySQLConfig is the MySQL front end's configuration and the path of its file, so
 // that its engines can be read again.
@@ -48,7 +48,7 @@
 	if err != nil {
 		return nil, err
 	}
-	listener, err := listen(cfg.Listen, platform != nil && platform.cfg.operatorsMayCall())
+	listener, err := listen(cfg.Listen, platform != nil && platform.cfg.operatorAPIEnabled())
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +57,7 @@
 	f.server = mysql.NewServer(f.loop, cfg)
 	f.loop.backend = f.pool
 	f.loop.countersReport = f.report
-	if platform != nil && platform.sharesState() {
+	if platform != nil && platform.replicatesState() {
 		f.server.Leases = leaseCoordinator{platform: platform, mysqlLoop: f.loop}
 	}
 	f.applyEngines(cfg.Engines)
@@ -93,7 +93,7 @@
 // reload reads the file again and has the loop apply its engines. All else is for the
 // next start.
 func (f *mySQLFrontEnd) reload() {
-	cfg, err := readWithRetries(f.readAgain)
+	cfg, err := readWithRetries(f.rereadConfig)
 	f.loop.Post(func() {
 		if err != nil {
 			f.loop.Logf("reload failed, engines unchanged: %v", err)
@@ -104,10 +104,10 @@
 	})
 }
 
-func (f *mySQLFrontEnd) readAgain() (*mysql.Config, error) {
+func (f *mySQLFrontEnd) rereadConfig() (*mysql.Config, error) {
 	cfg, err := mysql.ReadConfig(f.path)
 	if cfg == nil && err == nil {
-		return nil, errMySQLOff
+		return nil, errMySQLDisabled
 	}
 	return cfg, err
 }
--- a/internal/server/overrides.go
+++ b/internal/server/overrides.go
@@ -12,18 +12,18 @@
 	"dewhill/internal/replication"
 )
 
-// writeTimeout is beyond every time that the settings allow for an override to be
+// overrideWriteTimeout is beyond every time that the settings allow for an override to be
 // stored.
-const writeTimeout = 90 * time.Second
+const overrideWriteTimeout = 90 * time.Second
 
 // SetEngineOverride disables an engine or enables it again. It returns once the
 // dispatcher knows or, where the fleet replicates its state, once the override is
 // stored there. An engine that was never listed is an error.
 func (a *adminController) SetEngineOverride(engine string, disabled bool) error {
 	f := a.frontEnd
-	known := false
-	f.loop.runAndWait(func() { known = a.everListed[engine] || a.disabled[engine] })
-	if !known {
+	found := false
+	f.loop.runAndWait(func() { found = a.everListed[engine] || a.disabled[engine] })
+	if !found {
 		return errNeverListed
 	}
 	if f.cfg.replicates() {
@@ -90,7 +90,7 @@
 		a.setEngineDisabled(key.ID, disabled)
 	case replication.FrontEnd:
 		if key.ID == a.frontEnd.cfg.Name && a.outOfService != disabled {
-			a.applyService(!disabled)
+			a.applyInService(!disabled)
 		}
 	default: // of a kind that a later version has
 	}
@@ -99,7 +99,7 @@
 // CaughtUp lets this front end work: it knows which engines it must not use.
 func (a *adminController) CaughtUp() {
 	a.frontEnd.startDiscovery()
-	a.updateService()
+	a.updateDraining()
 }
 
 // writeOverride writes an override to the fleet's replicated state and waits until as
@@ -121,7 +121,7 @@
 	select {
 	case result := <-results:
 		return writeError(result)
-	case <-time.After(writeTimeout):
+	case <-time.After(overrideWriteTimeout):
 		return errNoResult
 	}
 }
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -49,7 +49,7 @@
 		return peer.Open(listenConfig(shared), f.cfg.PeerListen, f.cfg.Peers, f.cfg.PeersAll, selfIndex)
 	}
 	if !f.cfg.replicates() {
-		return retryAddressInUse(func() (*peer.Transport, error) { return open(f.cfg.operatorsMayCall()) })
+		return retryAddressInUse(func() (*peer.Transport, error) { return open(f.cfg.operatorAPIEnabled()) })
 	}
 	transport, err := open(false)
 	if errors.Is(err, syscall.EADDRINUSE) {
--- a/internal/server/recentids.go
+++ b/internal/server/recentids.go
@@ -8,8 +8,8 @@
 // recentIDs remembers the request ids that were accepted lately, so that none is
 // accepted twice. Old ones are forgotten, and the oldest where there are too many.
 type recentIDs struct {
-	known map[string]bool
-	order []recentID // oldest first
+	accepted map[string]bool
+	order    []recentID // oldest first
 }
 
 // recentID is an id and when it was accepted.
@@ -18,17 +18,17 @@
 	acceptedAtMS float64
 }
 
-func newRecentIDs() recentIDs { return recentIDs{known: map[string]bool{}} }
+func newRecentIDs() recentIDs { return recentIDs{accepted: map[string]bool{}} }
 
 // contains reports whether an id was accepted lately.
-func (r *recentIDs) contains(id string) bool { return r.known[id] }
+func (r *recentIDs) contains(id string) bool { return r.accepted[id] }
 
 // add remembers an id that is accepted now, and forgets what is too old.
 func (r *recentIDs) add(id string, nowMS float64) {
-	r.known[id] = true
+	r.accepted[id] = true
 	r.order = append(r.order, recentID{id: id, acceptedAtMS: nowMS})
 	for len(r.order) > maxRecentIDs || r.order[0].acceptedAtMS < nowMS-recentIDMaxAgeMS {
-		delete(r.known, r.order[0].id)
+		delete(r.accepted, r.order[0].id)
 		r.order = r.order[1:]
 	}
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -36,10 +36,10 @@
 	}
 	f.counters.Reloads++
 	if !f.discoveryStarted {
-		f.cfg.DiscoveryAddress, f.cfg.KnownUpdates = cfg.DiscoveryAddress, cfg.KnownUpdates
+		f.cfg.DiscoveryAddress, f.cfg.InitialUpdates = cfg.DiscoveryAddress, cfg.InitialUpdates
 		return
 	}
 	f.loop.Logf("configuration reloaded: endpoint list at %s, after revision %d", cfg.DiscoveryAddress, f.revision)
-	f.applyUpdates(&cfg.KnownUpdates)
+	f.applyUpdates(&cfg.InitialUpdates)
 	f.watchDiscovery(cfg.DiscoveryAddress)
 }
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -46,16 +46,16 @@
 	l.backend.StartAttempt(attempt, r.class, r.work)
 }
 
-// answer responds to a request and forgets it.
-func (l *EventLoop) answer(a dispatch.Answer) {
+// respond responds to a request and forgets it.
+func (l *EventLoop) respond(a dispatch.Answer) {
 	r := l.requests[a.RequestID]
 	if r == nil {
 		return
 	}
 	delete(l.requests, a.RequestID)
 	if late := l.Now() - r.deadlineMS; late > 0 {
-		l.Counters.LateAnswers++
-		l.Counters.MaxAnswerDelayMS = max(l.Counters.MaxAnswerDelayMS, late)
+		l.Counters.LateResponses++
+		l.Counters.MaxResponseDelayMS = max(l.Counters.MaxResponseDelayMS, late)
 	}
 	switch a.Outcome {
 	case dispatch.Served:
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -25,7 +25,7 @@
 	var services []*service
 	var platformFront *platformFrontEnd
 	if platform != nil {
-		applyMachineLimits(platform.Limits.Cores, platform.Limits.MemoryMB)
+		applyResourceLimits(platform.Limits.Cores, platform.Limits.MemoryMB)
 		s, f, err := newPlatformFrontEnd(platform)
 		if err != nil {
 			return nil, err
--- a/internal/server/settingscheck.go
+++ b/internal/server/settingscheck.go
@@ -10,14 +10,14 @@
 	"dewhill/internal/simproto"
 )
 
-// unusableInClassNames can't be in a field of an engine's request.
-const unusableInClassNames = " ,\t\r\n"
+// invalidClassNameChars can't be in a field of an engine's request.
+const invalidClassNameChars = " ,\t\r\n"
 
 // The values of settings that are one of a few words. Empty is a setting that is left
 // out. What is not here may be the word for something that must not be passed over.
 var (
 	discoveryModes = []string{"", "push", "ask"}
-	reportingVias  = []string{"", "none", "answers", "probe"}
+	reportingModes = []string{"", "none", "answers", "probe"}
 )
 
 // validateSettings returns an error that names a setting that can't be used. Settings that
@@ -35,7 +35,7 @@
 	if !slices.Contains(discoveryModes, settings.Discovery) {
 		return fmt.Errorf("discovery: unknown value %q", settings.Discovery)
 	}
-	if !slices.Contains(reportingVias, settings.Reporting.Via) {
+	if !slices.Contains(reportingModes, settings.Reporting.Via) {
 		return fmt.Errorf("reporting.via: unknown value %q", settings.Reporting.Via)
 	}
 	_, err := settings.Control()
@@ -51,7 +51,7 @@
 		if class.Name == "" || seen[class.Name] {
 			return fmt.Errorf("class %q has no name of its own", class.Name)
 		}
-		if strings.ContainsAny(class.Name, unusableInClassNames) {
+		if strings.ContainsAny(class.Name, invalidClassNameChars) {
 			return fmt.Errorf("class %q: the name can't be sent to engines", class.Name)
 		}
 		seen[class.Name] = true
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -17,10 +17,10 @@
 	// shutdownMarginMS is how long after the longest deadline every request is
 	// answered: the platform kills the process 700 ms after that deadline.
 	shutdownMarginMS = 500.0
-	// maxShutdownMS bounds the deadline that counts for it; maxShutdownIfReplacedMS does
+	// maxShutdownDeadlineMS bounds the deadline that counts for it; maxShutdownDeadlineIfReplacedMS does
 	// where another process has succeeded this one.
-	maxShutdownMS           = 3000.0
-	maxShutdownIfReplacedMS = 5000.0
+	maxShutdownDeadlineMS           = 3000.0
+	maxShutdownDeadlineIfReplacedMS = 5000.0
 )
 
 // beginShutdown begins a graceful shutdown, the first time it is called. For a while
@@ -35,10 +35,10 @@
 	s.loop.Logf("%v: graceful shutdown, replaced: %v", received, replaced)
 	s.frontEnd.beginShutdown(replaced)
 
-	acceptFor, maxMS := acceptAfterSignal, maxShutdownMS
+	acceptFor, maxMS := acceptAfterSignal, maxShutdownDeadlineMS
 	if replaced {
 		// Clients reach the next process: only what waits in the backlog is served.
-		acceptFor, maxMS = 0, maxShutdownIfReplacedMS
+		acceptFor, maxMS = 0, maxShutdownDeadlineIfReplacedMS
 	}
 	time.AfterFunc(acceptFor, s.stopAccepting)
 	if s.maxDeadlineMS > 0 {
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -36,8 +36,8 @@
 // the files.
 func (s *Signals) handleReloads(services []*service) {
 	for range s.reload {
-		for _, each := range services {
-			each.frontEnd.reload()
+		for _, svc := range services {
+			svc.frontEnd.reload()
 		}
 	}
 }
@@ -48,15 +48,15 @@
 	for {
 		select {
 		case <-s.printCounters:
-			for _, each := range services {
-				each.loop.Post(each.logCounters)
+			for _, svc := range services {
+				svc.loop.Post(svc.logCounters)
 			}
 		case received := <-s.terminate:
 			// Only SIGTERM is sent in an upgrade: the first service is the platform front
 			// end, where there is one.
 			replaced := received == syscall.SIGTERM && services[0].frontEnd.replaced()
-			for _, each := range services {
-				each.loop.Post(func() { each.beginShutdown(received, replaced) })
+			for _, svc := range services {
+				svc.loop.Post(func() { svc.beginShutdown(received, replaced) })
 			}
 		}
 	}
