--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -16,7 +16,7 @@
 
 const (
 	handoverPollInterval = 100 * time.Millisecond
-	maxEverListed        = 16384 // engines that are remembered as listed once
+	maxEverListed        = 16384 // ids of listed engines that are kept
 )
 
 var (
@@ -25,27 +25,27 @@
 	errNoResult     = errors.New("the front end ends")
 )
 
-// adminController carries out operators' calls: overrides of engines, service,
-// counters, and the handover to a next process. It implements adminapi.Controller,
-// whose methods are called from the goroutines of the API's server. Its fields
-// belong to the loop, where nothing else is said.
+// adminController implements the operators' API: overrides of engines, taking the front
+// end out of service, and counters. It also hands over to the next process in an upgrade.
+// The methods of adminapi.Controller are called on goroutines of the API's server. Fields
+// belong to the loop unless their comment says otherwise.
 type adminController struct {
 	frontEnd     *platformFrontEnd
 	handover     *handoverFile
-	token        string       // of this process; constant
-	listener     net.Listener // nil: operators can't call; constant
-	maxOperators int          // that are connected at once; constant
+	token        string       // identifies this process; constant
+	listener     net.Listener // nil: the operators' API is off; constant
+	maxOperators int          // limit of connections at once; constant
 
-	disabled         map[string]bool // engines, by override
-	appliedSequence  int             // of the handover state
-	everListed       map[string]bool // engines
+	disabled         map[string]bool // engines that are disabled by override
+	appliedSequence  int             // sequence of the handover state that was applied last
+	everListed       map[string]bool // engines that were listed, also if they have been removed
 	outOfService     bool            // by an operator
-	handedOver       bool            // to another process
-	lastSeenHandover os.FileInfo     // of the goroutine that polls the file
+	handedOver       bool            // another process has taken over
+	lastSeenHandover os.FileInfo     // belongs to the goroutine that polls the file
 }
 
-// newAdminController opens the operators' address and applies what an earlier process
-// has left.
+// newAdminController opens the operators' address and applies the overrides that an
+// earlier process recorded.
 func newAdminController(f *platformFrontEnd, maxOperators int) (*adminController, error) {
 	a := &adminController{
 		frontEnd:     f,
@@ -62,15 +62,15 @@
 	if err != nil {
 		f.loop.Logf("engine overrides can't be read: %v", err)
 	}
-	if !f.cfg.replicates() { // else the cluster's state is newer
+	if !f.cfg.replicates() { // with replication, the cluster's state is newer
 		a.applyHandover(state)
 	}
 	a.listener, err = listen(f.cfg.ControlListen, false)
 	return a, err
 }
 
-// start serves operators from now on: clients can connect. Its goroutines end with
-// the process.
+// start records that this process is ready, and starts the operators' API. It is called
+// once clients can connect. Its goroutines end with the process.
 func (a *adminController) start() {
 	if a.listener == nil {
 		return
@@ -82,11 +82,11 @@
 	go adminapi.New(a, a.maxOperators).Serve(a.listener)
 }
 
-// pollHandover applies what another process of this front end changes, and saves
-// overrides that could not be saved when operators called.
+// pollHandover applies the overrides that another process of this front end records, and
+// saves the overrides of this process that could not be saved before.
 func (a *adminController) pollHandover() {
 	if a.frontEnd.cfg.replicates() {
-		return // the cluster's state is newer
+		return // with replication, the cluster's state is newer
 	}
 	for range time.Tick(handoverPollInterval) {
 		a.savePendingOverrides()
@@ -94,8 +94,8 @@
 	}
 }
 
-// savePendingOverrides saves them unless another process has taken over: operators
-// call that one now.
+// savePendingOverrides saves pending overrides, unless another process has taken over:
+// operators call that process now.
 func (a *adminController) savePendingOverrides() {
 	if !a.handover.hasPending() || a.replaced() {
 		return
@@ -126,17 +126,19 @@
 	return err == nil && state.ReadyProcess != "" && state.ReadyProcess != a.token
 }
 
-// handOver sends clients to the next process.
+// handOver drains the clients of this process, which then connect to the next one.
 func (a *adminController) handOver() {
 	a.handedOver = true
 	a.updateDraining()
 }
 
-// updateDraining has the HTTP server send clients away or take them.
+// updateDraining makes the HTTP server drain its clients, or stop draining them if this
+// process accepts clients.
 func (a *adminController) updateDraining() {
 	a.frontEnd.httpServer.SetDraining(!a.acceptsClients())
 }
 
+// acceptsClients reports whether clients should connect to this process, shutdowns aside.
 func (a *adminController) acceptsClients() bool {
 	return !a.outOfService && !a.handedOver && a.caughtUp()
 }
@@ -145,15 +147,15 @@
 	return a.frontEnd.cluster == nil || a.frontEnd.cluster.CaughtUp()
 }
 
-// Ready reports whether this process takes clients.
+// Ready reports whether this process accepts clients.
 func (a *adminController) Ready() bool {
 	ready := false
 	a.frontEnd.loop.runAndWait(func() { ready = a.acceptsClients() && !a.frontEnd.shuttingDown })
 	return ready
 }
 
-// SetInService sends clients away from this front end, or takes them again. Where the
-// fleet replicates its state, it returns once the override is stored there.
+// SetInService takes this front end out of service or puts it back in service. If the
+// fleet replicates its state, it returns once enough front ends have stored the override.
 func (a *adminController) SetInService(inService bool) error {
 	f := a.frontEnd
 	if f.cfg.replicates() {
@@ -169,27 +171,28 @@
 	a.updateDraining()
 }
 
-// CountersJSON returns the figures that operators fetch, as JSON.
+// CountersJSON returns the counters for operators as JSON.
 func (a *adminController) CountersJSON() []byte {
 	var text []byte
 	a.frontEnd.loop.runAndWait(func() {
-		// Plain numbers and strings: they can be encoded.
+		// The report consists of numbers and strings: encoding it can't fail.
 		text, _ = json.Marshal(a.frontEnd.operatorReport())
 	})
 	return text
 }
 
-// FleetJSON returns the members of the cluster as JSON; nil: there is no cluster.
+// FleetJSON returns the members of the cluster as JSON, or nil if there is no cluster.
 func (a *adminController) FleetJSON() []byte {
 	return a.clusterJSON((*cluster.Cluster).MembersJSON)
 }
 
-// StateJSON returns the replicated state as JSON; nil: there is none.
+// StateJSON returns the replicated state as JSON, or nil if there is none.
 func (a *adminController) StateJSON() []byte {
 	return a.clusterJSON((*cluster.Cluster).StateJSON)
 }
 
-// clusterJSON has the cluster describe itself; nil: there is no cluster.
+// clusterJSON calls describe with the cluster on the loop. It returns nil if there is no
+// cluster.
 func (a *adminController) clusterJSON(describe func(*cluster.Cluster) []byte) []byte {
 	var text []byte
 	a.frontEnd.loop.runAndWait(func() {
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -16,47 +16,46 @@
 	"dewhill/internal/subset"
 )
 
-// Config is what the platform configures of a front end. Subset and Cluster are the
-// operators' settings, from TOML files of their own: the platform's JSON does not
-// carry them.
+// Config is the configuration of a platform front end, as the platform writes it. Subset
+// and Cluster are settings of the operators, from separate TOML files: they are not part of
+// the platform's JSON.
 type Config struct {
 	Name             string            `json:"name"`
-	Listen           string            `json:"listen"` // where clients connect
-	Seed             string            `json:"seed"`   // of random choices, hexadecimal
+	Listen           string            `json:"listen"` // address for clients
+	Seed             string            `json:"seed"`   // seed of random choices, hexadecimal
 	Limits           ResourceLimits    `json:"limits"`
-	PeerListen       string            `json:"peer_listen"` // where peers send datagrams; empty: nowhere
+	PeerListen       string            `json:"peer_listen"` // address for datagrams of peers; empty: none
 	Peers            []string          `json:"peers"`
-	PeersAll         string            `json:"peers_all"` // one address that reaches all peers; empty: none
-	DiscoveryAddress string            `json:"board"`
-	ControlListen    string            `json:"control"` // where operators call; empty: nowhere
-	InitialUpdates   discovery.Updates `json:"known"`
+	PeersAll         string            `json:"peers_all"` // an address that reaches all peers; empty: none
+	DiscoveryAddress string            `json:"board"`     // of the endpoint list; empty: none
+	ControlListen    string            `json:"control"`   // address of the operators' API; empty: none
+	InitialUpdates   discovery.Updates `json:"known"`     // applied before the list at DiscoveryAddress
 	Settings         simproto.Settings `json:"settings"`
 
-	seed uint64
-	path string
+	seed uint64 // Seed as a number
+	path string // of the file
 
 	Subset  subset.Options  `json:"-"`
 	Cluster cluster.Options `json:"-"`
 }
 
-// ResourceLimits are what the platform gives a front end to run on. 0: not limited,
-// or for sockets the default.
+// ResourceLimits are the resources that the platform assigns to a front end. 0 means no
+// limit, or for sockets the default.
 type ResourceLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// The names of the environment that override the configuration's.
+// The environment variables that override the configuration.
 const (
 	envName          = "PROXY_NAME"
 	envListen        = "PROXY_LISTEN"
 	envControlListen = "PROXY_CONTROL"
 )
 
-// ReadSubsetOptions reads the options of engine subsets from a TOML file. Where there
-// is no such file the defaults hold; a file that can't be used is an error that
-// names it.
+// ReadSubsetOptions reads the options of engine subsets from a TOML file. If the file does
+// not exist, it returns the defaults. The error for an invalid file names the file.
 func ReadSubsetOptions(path string) (subset.Options, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -86,8 +85,8 @@
 	return c, nil
 }
 
-// applyEnvironment overrides what differs between front ends that are started with
-// the same file.
+// applyEnvironment applies the environment variables, which hold the settings that differ
+// between front ends that are started with the same file.
 func (c *Config) applyEnvironment() {
 	for _, override := range []struct {
 		name  string
@@ -103,7 +102,8 @@
 	}
 }
 
-// validate checks the configuration and fills in what is derived from it.
+// validate checks the configuration. It also sets the fields that are derived from it, and
+// the defaults of the limits.
 func (c *Config) validate() error {
 	seed, err := strconv.ParseUint(c.Seed, 16, 64)
 	if err != nil {
@@ -118,7 +118,7 @@
 		return fmt.Errorf("known: %w", err)
 	}
 	if c.DiscoveryAddress == "" && len(c.InitialUpdates.Updates) == 0 {
-		return errors.New("neither board nor known: no engine can be found")
+		return errors.New("board and known are both empty: no source of engines")
 	}
 	if err := validateSettings(&c.Settings); err != nil {
 		return fmt.Errorf("settings: %w", err)
@@ -130,7 +130,7 @@
 		c.Limits.Sockets = defaultDescriptors
 	}
 	if c.Limits.Sockets < minDescriptors {
-		return fmt.Errorf("limits: %d sockets are too few", c.Limits.Sockets)
+		return fmt.Errorf("limits: %d sockets, at least %d are needed", c.Limits.Sockets, minDescriptors)
 	}
 	return nil
 }
@@ -155,14 +155,14 @@
 	return nil
 }
 
-// operatorAPIEnabled reports whether there is an address for operators. Upgrades are
-// theirs: only then may two processes share the front end's addresses.
+// operatorAPIEnabled reports whether the operators' API has an address. Only then may two
+// processes share the front end's addresses, as only operators run upgrades.
 func (c *Config) operatorAPIEnabled() bool { return c.ControlListen != "" }
 
-// replicates reports whether the state of the fleet is configured to be replicated.
+// replicates reports whether replication of the fleet's state is configured.
 func (c *Config) replicates() bool { return c.Cluster.Enabled && c.Cluster.Replication.Enabled }
 
-// classNames are the names of the classes, in the order of the settings.
+// classNames returns the names of the classes, in the order of the settings.
 func (c *Config) classNames() []string {
 	names := make([]string, len(c.Settings.Classes))
 	for i, class := range c.Settings.Classes {
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -10,14 +10,13 @@
 	"dewhill/internal/mysql"
 )
 
-// maxLinesPerKind bounds log lines of one kind, so that a log that is kept in memory
-// has an end.
+// maxLinesPerKind limits the log lines of one kind, so that a log that is kept in memory
+// is bounded.
 const maxLinesPerKind = 200
 
-// RequestCounters count the requests and attempts of a loop, and how long it was
-// blocked.
+// RequestCounters count the requests and attempts of a loop, and measure its delays.
 type RequestCounters struct {
-	Events             int            `json:"Events"` // posted to the loop, urgent ones aside
+	Events             int            `json:"Events"` // posted to the loop, without urgent ones
 	Submitted          int            `json:"Taken"`
 	Served             int            `json:"Served"`
 	Rejected           int            `json:"Refused"`
@@ -26,33 +25,33 @@
 	AttemptsStarted    int            `json:"Starts"`
 	AttemptsCancelled  int            `json:"Stops"`
 	LateResponses      int            `json:"Late"`       // responses after the client's deadline
-	MaxResponseDelayMS float64        `json:"WorstLate"`  // past the deadline
-	MaxReadDelayMS     float64        `json:"WorstRead"`  // from reading a request to its event
-	MaxTimerDelayMS    float64        `json:"WorstWake"`  // of the dispatcher's timers
-	MaxEventMS         float64        `json:"WorstEvent"` // for which one event blocked the loop
-	Stalls             int            `json:"Stalls"`     // events that blocked it beyond stallThresholdMS
-	AttemptResults     map[string]int `json:"Results"`    // by name
+	MaxResponseDelayMS float64        `json:"WorstLate"`  // the longest delay past the deadline
+	MaxReadDelayMS     float64        `json:"WorstRead"`  // the longest, from reading a request to its event
+	MaxTimerDelayMS    float64        `json:"WorstWake"`  // the longest delay of the dispatcher's timers
+	MaxEventMS         float64        `json:"WorstEvent"` // the longest time that one event took
+	Stalls             int            `json:"Stalls"`     // events that took stallThresholdMS or longer
+	AttemptResults     map[string]int `json:"Results"`    // attempts that ended, by the name of the result
 }
 
-// platformCounters count what a platform front end receives besides requests.
+// platformCounters count what a platform front end receives and sends besides requests.
 type platformCounters struct {
-	Updates         int `json:"Notices"` // of the endpoint list, that were applied
+	Updates         int `json:"Notices"` // updates of the endpoint list that were applied
 	DiscoveryErrors int `json:"BoardTroubles"`
 	GossipSent      int `json:"Told"`
 	GossipReceived  int `json:"Heard"`
-	UnknownSenders  int `json:"Strange"` // datagrams of no peer
+	UnknownSenders  int `json:"Strange"` // datagrams from addresses that are not peers
 	Reloads         int `json:"Reloads"`
 	FailedReloads   int `json:"BadReloads"`
-	EmptySnapshots  int `json:"EmptyLists"` // that were ignored
+	EmptySnapshots  int `json:"EmptyLists"` // snapshots without engines that were ignored
 
-	ListedEngines int     `json:"Listed"`      // engines in the list, removed ones among them
-	MaxUpdateMS   float64 `json:"WorstNotice"` // that the longest change of the list took
+	ListedEngines int     `json:"Listed"`      // engines in the list
+	MaxUpdateMS   float64 `json:"WorstNotice"` // the longest time that applying updates took
 
-	UnexpectedDatagrams int `json:"Foreign,omitempty"` // of a kind that is not handled here
+	UnexpectedDatagrams int `json:"Foreign,omitempty"` // datagrams of a kind that is not handled here
 }
 
-// platformReport is what a platform front end prints on SIGUSR1 and at its end, and
-// answers to GET /-/counters. Its fields are in the order of their keys.
+// platformReport is the report that a platform front end prints on SIGUSR1 and when it
+// exits, and returns for GET /-/counters. Its fields are in the order of their keys.
 type platformReport struct {
 	Classes           []dispatch.ClassLoad  `json:"classes"`
 	EngineConnections int                   `json:"engine_conns"`
@@ -67,7 +66,7 @@
 	Requests          RequestCounters       `json:"requests"`
 }
 
-// mySQLReport is what a MySQL front end prints. Its fields are in the order of
+// mySQLReport is the report that a MySQL front end prints. Its fields are in the order of
 // their keys.
 type mySQLReport struct {
 	Classes      []dispatch.ClassLoad `json:"classes"`
@@ -77,11 +76,11 @@
 	Requests     RequestCounters      `json:"requests"`
 }
 
-// operatorReport is what GET /control/counters answers. Its fields are in the order
-// of their keys.
+// operatorReport is the response to GET /control/counters. Its fields are in the order of
+// their keys.
 type operatorReport struct {
-	EngineRequests    int                      `json:"backend_calls"` // written whole to engines
-	Classes           map[string]classOutcomes `json:"calls"`         // by name
+	EngineRequests    int                      `json:"backend_calls"` // written completely to engines
+	Classes           map[string]classOutcomes `json:"calls"`         // by class name
 	UnusedEngines     int                      `json:"hosts_down"`
 	ListedEngines     int                      `json:"hosts_listed"`
 	OpenRequests      int                      `json:"inflight"`
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -10,17 +10,17 @@
 	"dewhill/internal/dispatch"
 )
 
-// startDiscovery applies the engines that are known and watches the endpoint list:
-// from then on requests are sent.
+// startDiscovery applies the endpoint updates in the configuration and starts to watch
+// the endpoint list. From then on requests are sent to engines.
 func (f *platformFrontEnd) startDiscovery() {
 	f.discoveryStarted = true
 	f.applyUpdates(&f.cfg.InitialUpdates)
 	f.watchDiscovery(f.cfg.DiscoveryAddress)
 }
 
-// watchDiscovery watches the endpoint list at an address, and no other one any more.
-// Revisions go on: the watch asks for what comes after the last update applied.
-// Its goroutine ends when stopWatch is called.
+// watchDiscovery watches the endpoint list at an address, and stops the watch of the
+// previous address. The new watch polls for updates after the last revision that was
+// applied. Its goroutine ends when stopWatch is called.
 func (f *platformFrontEnd) watchDiscovery(address string) {
 	if address == f.discoveryAddress {
 		return
@@ -37,8 +37,9 @@
 	f.stopWatch = cancel
 	received := func(updates *discovery.Updates) {
 		f.loop.Post(func() {
-			// Guards the revisions against an answer from an address that has been left
-			// since: the next one is asked for the same, which would be passed over.
+			// Ignores a response from an address that is no longer watched. If it were
+			// applied, the updates of the same revisions from the new address would be
+			// skipped as already applied.
 			if ctx.Err() == nil {
 				f.applyUpdates(updates)
 			}
@@ -60,8 +61,8 @@
 	}
 }
 
-// applyUpdates applies updates of the endpoint list. The dispatcher is shown engines
-// by their ids alone; the pool knows their addresses.
+// applyUpdates applies updates of the endpoint list. The dispatcher receives only the ids
+// of engines; the pool receives their addresses.
 func (f *platformFrontEnd) applyUpdates(updates *discovery.Updates) {
 	startMS := f.loop.Now()
 	f.engineStarts.listUpdated(updates, startMS)
@@ -73,9 +74,10 @@
 	}
 	f.revision = max(f.revision, updates.Revision)
 	if changed {
-		// Once for all updates that came together: each time a subset is selected.
+		// Once for all updates that were received together: each call selects a subset.
 		f.publishEndpoints()
-		// Once the dispatcher knows, or it would send there again.
+		// After the dispatcher was notified: before, it would send the withdrawn requests to
+		// the same engines again.
 		f.enginePool.WithdrawUnwritten()
 	}
 	f.counters.ListedEngines = len(f.endpoints.engines)
@@ -84,8 +86,8 @@
 
 // applyUpdate applies one update and reports whether the list has changed.
 func (f *platformFrontEnd) applyUpdate(update *discovery.Update) (changed bool) {
-	// Guards against an update that comes twice, from an address that was left and
-	// from the next: the older one would undo what came after it.
+	// The same update may be received twice, from the previous address of the list and
+	// from the next. Applied again, it would undo the updates that followed it.
 	if update.Revision <= f.revision {
 		return false
 	}
@@ -114,7 +116,7 @@
 	return true
 }
 
-// applyEndpoint has the log, the operators' API and the pool know of an endpoint.
+// applyEndpoint logs an endpoint and reports it to the operators' API and the pool.
 func (f *platformFrontEnd) applyEndpoint(e *discovery.Endpoint) {
 	f.endpointLinesLogged++
 	if f.endpointLinesLogged < maxLinesPerKind {
@@ -124,7 +126,8 @@
 	f.enginePool.SetEndpoint(e.ID, e.Address, e.State == discovery.Draining, e.State == discovery.Removed)
 }
 
-// engineInfo is an endpoint as the dispatcher is shown it.
+// engineInfo converts an endpoint for the dispatcher. A zone or kind that the settings
+// don't name has the index -1.
 func (f *platformFrontEnd) engineInfo(e *discovery.Endpoint) control.EngineInfo {
 	return control.EngineInfo{
 		ID:          e.ID,
@@ -138,12 +141,13 @@
 	}
 }
 
-// publishEndpoints shows the dispatcher the engines that this front end may use.
+// publishEndpoints sends the dispatcher the engines of this front end's subset, with the
+// draining, removed and overridden ones.
 func (f *platformFrontEnd) publishEndpoints() {
 	f.loop.apply(dispatch.EndpointsChanged{Snapshot: true, Engines: f.endpoints.visible()})
 }
 
-// engineCounts counts the engines in the list, and those of them that this front end
+// engineCounts returns the number of engines in the list, and of those that this front end
 // does not use now: outside its subset, draining, disabled or ejected.
 func (f *platformFrontEnd) engineCounts() (listed, unused int) {
 	visible, visibleUnused := f.loop.dispatcher.EngineCounts()
--- a/internal/server/endpointtable.go
+++ b/internal/server/endpointtable.go
@@ -7,23 +7,23 @@
 	"dewhill/internal/subset"
 )
 
-// endpointTable is the endpoint list as it was received, and the part of it that the
-// dispatcher is shown: the engines of this front end's subset.
+// endpointTable is the endpoint list as it was received. It selects the part of it that is
+// visible to the dispatcher: the engines of this front end's subset.
 type endpointTable struct {
 	plan            subset.Plan
-	subset          subset.Selector // among the front ends that are alive
-	slowStartSubset subset.Selector // among all that are configured, where some are not alive
-	coresByKind     []int           // of an engine of each kind
+	subset          subset.Selector // divides engines among the front ends that are alive
+	slowStartSubset subset.Selector // among all configured front ends; used once plan.Alive is set
+	coresByKind     []int           // cores of an engine, by kind
 
 	engines       []control.EngineInfo // in the order in which they were first listed
 	indexByID     map[string]int       // in engines
-	overridden    map[string]bool      // ids that operators have named: the dispatcher is always shown them
-	outsideSubset []bool               // of engines, as selected last: usable, and not in the subset
-	hasRemoved    bool                 // some of engines have been removed
+	overridden    map[string]bool      // ids that operators have disabled at some time: always visible
+	outsideSubset []bool               // by index in engines: usable, and not selected last
+	hasRemoved    bool                 // engines has some that are removed
 }
 
-// newEndpointTable returns an empty list of a front end that selects its subset by
-// the plan.
+// newEndpointTable returns the empty table of a front end that selects its subset by the
+// plan.
 func newEndpointTable(plan subset.Plan, coresByKind []int) *endpointTable {
 	return &endpointTable{
 		plan:        plan,
@@ -33,16 +33,15 @@
 	}
 }
 
-// wouldEmptyList reports whether a list with so many entries would leave this
-// front end no engine that the last one has. It guards against a snapshot that was
-// cut off, or made before its source knew anything: engines are drained and removed
-// by name.
+// wouldEmptyList reports whether an update with a number of entries is a snapshot without
+// engines while the table has some. Such a snapshot was truncated, or made before its
+// source had any data: engines that really leave are listed as draining or removed.
 func (t *endpointTable) wouldEmptyList(snapshot bool, entries int) bool {
 	return snapshot && entries == 0 && t.listedCount() > 0
 }
 
-// markOverridden has the dispatcher shown an engine whether it is in the subset or
-// not, and reports whether it was hidden so far.
+// markOverridden makes an engine visible to the dispatcher whether or not it is in the
+// subset, and reports whether it was hidden before.
 func (t *endpointTable) markOverridden(id string) (hidden bool) {
 	i, listed := t.indexByID[id]
 	hidden = listed && i < len(t.outsideSubset) && t.outsideSubset[i] && !t.overridden[id]
@@ -50,8 +49,8 @@
 	return hidden
 }
 
-// merge applies an update: a snapshot replaces the list, any other update replaces
-// the engines that it names.
+// merge applies an update: a snapshot replaces the list, and any other update replaces or
+// adds the engines that it names.
 func (t *endpointTable) merge(snapshot bool, engines []control.EngineInfo) {
 	if snapshot {
 		t.engines = t.engines[:0]
@@ -69,7 +68,7 @@
 	}
 }
 
-// listedCount counts the engines in the list that are not removed.
+// listedCount returns the number of engines in the list that are not removed.
 func (t *endpointTable) listedCount() int {
 	count := 0
 	for _, e := range t.engines {
@@ -80,12 +79,12 @@
 	return count
 }
 
-// visible returns what the dispatcher is to be shown after updates were merged: the
-// subset, what is draining or has been removed, and what operators have named.
-// Engines outside the subset are left out, which ends their use: a decision then
-// costs as much as the subset is large, however many engines there are. Removed
-// engines are shown once, and then forgotten: else the list would grow with every
-// engine that there ever was.
+// visible returns the engines that the dispatcher receives after updates were merged: the
+// subset, draining and removed engines, and those that operators have overridden. Engines
+// outside the subset are left out, which ends their use: the cost of a decision then
+// depends on the size of the subset and not on the number of engines. Removed engines are
+// returned once and then forgotten: otherwise the list would grow with every engine that
+// was ever listed.
 func (t *endpointTable) visible() []control.EngineInfo {
 	all := t.selectSubset()
 	visible := []control.EngineInfo{}
@@ -98,7 +97,7 @@
 	return visible
 }
 
-// forgetRemoved drops engines that have been removed.
+// forgetRemoved deletes removed engines from the table.
 func (t *endpointTable) forgetRemoved() {
 	if !t.hasRemoved {
 		return
@@ -117,9 +116,9 @@
 	t.engines, t.outsideSubset = engines, outside
 }
 
-// selectSubset returns the whole list, with how many front ends share each engine,
-// and each engine outside the subset as draining, so that what runs there ends and
-// nothing new goes there.
+// selectSubset returns the whole list with the number of front ends that share each
+// engine. Engines outside the subset are marked as draining, so that their attempts end
+// and no new one starts there.
 func (t *endpointTable) selectSubset() []control.EngineInfo {
 	candidates := t.candidates()
 	selected := slices.Clone(t.engines)
@@ -138,7 +137,7 @@
 	return selected
 }
 
-// candidates are the engines as the selection knows them.
+// candidates returns the engines in the form that subset selection takes.
 func (t *endpointTable) candidates() []subset.Engine {
 	candidates := make([]subset.Engine, len(t.engines))
 	for i, e := range t.engines {
@@ -150,9 +149,9 @@
 	return candidates
 }
 
-// divideSlowStart divides the slow-start budget of each engine among all front ends
-// that are configured. It guards engines that are warming up against front ends
-// that are taken for dead and are not.
+// divideSlowStart divides the slow-start budget of each engine among all configured front
+// ends. Dividing it among the alive ones would overload engines that are warming up, if a
+// front end that is considered dead still sends requests.
 func (t *endpointTable) divideSlowStart(selected []control.EngineInfo, candidates []subset.Engine) {
 	configured := t.plan
 	configured.Alive = nil
--- a/internal/server/enginestarts.go
+++ b/internal/server/enginestarts.go
@@ -3,41 +3,43 @@
 import "dewhill/internal/discovery"
 
 const (
-	// maxListingDelayMS is how long after its start an engine may be listed for the first
-	// time: the discovery service tells what it knows within 7 s.
+	// maxListingDelayMS is the longest time from an engine's start to its first listing:
+	// the discovery service reports a change within 7 s.
 	maxListingDelayMS = 7000.0
 
-	maxEngineStarts = 16384 // that are remembered
+	maxEngineStarts = 16384 // the most starts that are kept
 )
 
-// engineStarts turns the times at which engines have started, as the endpoint list states
-// them, into times of the loop's clock. The list's times are of wall clocks, which may
-// have been stepped since, here or where they were read; an engine that is warming up
-// must be spared all the same, and no longer than it needs. So each stated time is read
-// once, when it is first seen:
+// engineStarts converts the start times of engines, as the endpoint list states them, to
+// the loop's clock. The stated times come from wall clocks, which may have been stepped
+// since, on this host or on the one that read them. An engine that is warming up must
+// still get a slow start, and one that lasts no longer than needed. So each stated time is
+// converted once, when it is first received:
 //
-//   - An engine does not start after it was listed: a later time is that of the list.
-//   - An engine, or a start, that the previous list did not have yet is not older than that
-//     list and the time that the service may take to tell of it. If it's stated to be, the
-//     clocks differ, and it counts as started when it was listed.
-//   - Of the first list nothing is known but what it states.
-//   - 0 states that the start was long ago.
+//   - An engine can't start after it was listed: a stated time later than the list is
+//     replaced by the time at which the list was received.
+//   - A start that was not in the previous list is no older than that list minus the time
+//     that the service may take to report it. If the stated time is older, the clocks
+//     differ, and the engine counts as started when it was listed.
+//   - For the first list there is no earlier one to compare with: its times are used as
+//     stated.
+//   - 0 means that the engine started long ago.
 //
-// The same statement about an engine then stands for the same start. The zero value is
-// ready.
+// From then on the same stated time of an engine stands for the same start. The zero value
+// is ready to use.
 type engineStarts struct {
-	listedAtMS       float64 // when the list's last updates came, by the loop's clock
-	previousListAtMS float64 // when the list was without them; 0: unknown
+	listedAtMS       float64 // when the last updates of the list were received, by the loop's clock
+	previousListAtMS float64 // when the previous list, without these updates, was received; 0: unknown
 	byID             map[string]engineStart
 }
 
-// engineStart is a stated start, and when it was by the loop's clock.
+// engineStart is a stated start time and the same time by the loop's clock.
 type engineStart struct {
 	statedAtMS  float64
 	startedAtMS float64
 }
 
-// listUpdated notes that updates of the list have come.
+// listUpdated records when updates of the list were received.
 func (s *engineStarts) listUpdated(updates *discovery.Updates, nowMS float64) {
 	s.listedAtMS = nowMS
 	s.previousListAtMS = 0
@@ -46,7 +48,7 @@
 	}
 }
 
-// startedAtMS returns when a listed engine has started, by the loop's clock; 0: long ago.
+// startedAtMS returns when a listed engine started, by the loop's clock; 0: long ago.
 func (s *engineStarts) startedAtMS(id string, statedAtMS float64) float64 {
 	if statedAtMS <= 0 {
 		return 0
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	queueLength      = 1024  // events that wait for the loop; whoever posts more waits
+	queueLength      = 1024  // capacity of each queue; Post blocks while the queue is full
 	stallThresholdMS = 100.0 // an event that blocks the loop for longer is logged
 )
 
-// engineBackend is the side towards the engines. It is called in the loop only.
+// engineBackend sends attempts and health checks to engines. It is called on the loop only.
 type engineBackend interface {
 	StartAttempt(s dispatch.StartAttempt, class int, work any)
 	CancelAttempt(dispatch.CancelAttempt)
@@ -24,8 +24,8 @@
 	Probe(engine string)
 }
 
-// clock gives Unix milliseconds that never go back: the wall clock at the
-// start, and the monotonic clock from there.
+// clock returns Unix milliseconds that never go back: the wall clock at the start, plus the
+// time that has passed since by the monotonic clock.
 type clock struct {
 	start       time.Time
 	startUnixMS float64
@@ -40,9 +40,10 @@
 	return c.startUnixMS + float64(time.Since(c.start).Microseconds())/1000
 }
 
-// EventLoop is the goroutine that owns a dispatcher and everything around it.
-// Events are applied in the order in which they were posted. Now, Post, PostUrgent
-// and Logf may be called from any goroutine; all else belongs to the loop's own.
+// EventLoop owns a dispatcher, its timers and the open requests, and applies events to
+// them on one goroutine. Events are applied in the order in which they were posted, urgent
+// ones first. Now, Post, PostUrgent and Logf may be called from any goroutine, except Post
+// from the loop's own. All other exported methods must be called on the loop.
 type EventLoop struct {
 	clock
 	name       string
@@ -50,17 +51,17 @@
 	backend    engineBackend
 
 	queue  chan func()
-	urgent chan func() // goes before queue
+	urgent chan func() // taken before queue
 	timers timerheap.Queue[func()]
 
 	applying      bool             // an event is being applied
-	pendingEvents []dispatch.Event // to apply after it
+	pendingEvents []dispatch.Event // to apply after that event
 
 	requests  map[string]*openRequest // by id
 	recentIDs recentIDs
 
-	broadcast      func([]byte) // to the other front ends; nil: there are none
-	countersReport func() any   // what CountersJSON encodes; nil: nothing
+	broadcast      func([]byte) // sends a message to the other front ends; nil: there are none
+	countersReport func() any   // returns the value that CountersJSON encodes; nil: there is none
 	requestLog     *requestLog
 	Counters       RequestCounters
 }
@@ -80,18 +81,18 @@
 	return l
 }
 
-// Post hands a function to the loop. It may be called from any goroutine but
-// the loop's own, and waits while the queue is full.
+// Post queues a function for the loop. It blocks while the queue is full. It may be called
+// from any goroutine but the loop's own.
 func (l *EventLoop) Post(f func()) { l.queue <- f }
 
-// PostUrgent hands a function to the loop ahead of what is posted. Its effect must
-// be right whichever of the posted functions run after it. It guards requests whose
-// client has disconnected against attempts that begin while the loop works through
+// PostUrgent queues a function for the loop ahead of functions queued by Post. Its effect
+// must be correct whichever of these functions run after it. It is for a client's
+// disconnect: otherwise attempts of its request could start while the loop works through
 // its queue.
 func (l *EventLoop) PostUrgent(f func()) { l.urgent <- f }
 
-// runAndWait runs a function in the loop ahead of what is posted, and waits for its
-// end. It may be called from any goroutine but the loop's own.
+// runAndWait runs a function on the loop ahead of functions queued by Post, and waits until
+// it returns. It may be called from any goroutine but the loop's own.
 func (l *EventLoop) runAndWait(f func()) {
 	done := make(chan struct{})
 	l.urgent <- func() {
@@ -101,15 +102,15 @@
 	<-done
 }
 
-// Now is the loop's clock, in Unix milliseconds.
+// Now returns the time by the loop's clock, in Unix milliseconds.
 func (l *EventLoop) Now() float64 { return l.now() }
 
-// After calls f in the loop after a time in milliseconds. Every request sets several
-// timers, so they share the loop's one runtime timer: a runtime timer for each
-// would cost more than the request's other work.
+// After calls f on the loop after a delay in milliseconds. Every request sets several
+// timers, so they share the loop's single runtime timer: a runtime timer for each would
+// cost more than the rest of the request's work.
 func (l *EventLoop) After(ms float64, f func()) { l.timers.Add(l.Now()+ms, f) }
 
-// nextDueMS is when something is due; infinite if nothing is.
+// nextDueMS returns when the next timer is due, or infinity if there is no timer.
 func (l *EventLoop) nextDueMS() float64 {
 	return min(l.dispatcher.NextTimerMS(), l.timers.NextDueMS())
 }
@@ -120,7 +121,7 @@
 	fmt.Fprintf(os.Stderr, "%s %s: %s\n", now, l.name, fmt.Sprintf(format, args...))
 }
 
-// run applies events until stop returns true, which it asks after each.
+// run applies events until stop returns true. It calls stop before each event.
 func (l *EventLoop) run(stop func() bool) {
 	wake := time.NewTimer(0)
 	defer wake.Stop()
@@ -149,7 +150,7 @@
 	}
 }
 
-// fireDueTimers fires the dispatcher's timer and the loop's own that are due.
+// fireDueTimers fires the dispatcher's timer and the loop's own timers if they are due.
 func (l *EventLoop) fireDueTimers() {
 	now := l.Now()
 	if due := l.dispatcher.NextTimerMS(); due <= now {
@@ -162,8 +163,8 @@
 	}
 }
 
-// runTimed runs a function of the loop and records for how long it blocked the
-// loop: meanwhile nothing is read, answered or cancelled.
+// runTimed runs a function and records how long it blocked the loop: in that time no
+// request is read, answered or cancelled.
 func (l *EventLoop) runTimed(f func()) {
 	startMS := l.Now()
 	f()
@@ -178,8 +179,8 @@
 	}
 }
 
-// apply gives an event to the dispatcher and carries out the effects. An event that
-// an effect brings is applied after the one that brought it.
+// apply applies an event to the dispatcher and executes its effects. An event that is
+// caused by an effect is applied after the event that is being applied.
 func (l *EventLoop) apply(ev dispatch.Event) {
 	if l.applying {
 		l.pendingEvents = append(l.pendingEvents, ev)
@@ -195,13 +196,14 @@
 	l.applying = false
 }
 
+// applyEvent applies one event and executes its effects.
 func (l *EventLoop) applyEvent(ev dispatch.Event) {
 	for _, effect := range l.dispatcher.Apply(l.Now(), ev) {
 		l.executeEffect(effect)
 	}
 }
 
-// executeEffect does what the dispatcher has decided.
+// executeEffect executes an effect of the dispatcher.
 func (l *EventLoop) executeEffect(effect dispatch.Effect) {
 	switch e := effect.(type) {
 	case dispatch.StartAttempt:
@@ -222,7 +224,7 @@
 			l.broadcast(e.Message)
 		}
 	case dispatch.WatchEndpoints:
-		// Not asked for: updates are watched from the start (endpoints.go).
+		// Ignored: the endpoint list is watched without a request (endpoints.go).
 	case dispatch.WriteLog:
 		l.Logf("%s", e.Text)
 	default:
--- a/internal/server/frontend.go
+++ b/internal/server/frontend.go
@@ -22,22 +22,22 @@
 	enginePool *engineclient.Pool
 	admin      *adminController
 	peers      *peer.Transport  // nil: there are none
-	cluster    *cluster.Cluster // nil: the front ends keep no state together
+	cluster    *cluster.Cluster // nil: clustering is off
 	endpoints  *endpointTable
-	// engineStarts are the engines' starts by the loop's clock.
+	// engineStarts holds the engines' start times by the loop's clock.
 	engineStarts engineStarts
 	counters     platformCounters
 
 	shuttingDown        bool
-	discoveryStarted    bool   // engines are used
-	discoveryAddress    string // that is watched; empty: none is
+	discoveryStarted    bool   // requests are sent to engines
+	discoveryAddress    string // the address that is watched; empty: none
 	stopWatch           context.CancelFunc
-	revision            int64 // of the last update of the endpoint list that was applied
+	revision            int64 // of the last applied update of the endpoint list
 	endpointLinesLogged int
 }
 
-// newPlatformFrontEnd makes a front end and its service. Its sockets are open, and
-// it begins to work when the service runs.
+// newPlatformFrontEnd creates a front end and its service. It opens the sockets; clients
+// are served once the service runs.
 func newPlatformFrontEnd(cfg *Config) (*service, *platformFrontEnd, error) {
 	settings, err := controlSettings(cfg)
 	if err != nil {
@@ -65,7 +65,7 @@
 		return nil, nil, err
 	}
 	if f.replicatesState() {
-		f.httpServer.SetDraining(true) // clients are sent away until CaughtUp
+		f.httpServer.SetDraining(true) // clients are sent elsewhere until CaughtUp
 		f.cluster.WatchOverrides(f.admin)
 	} else {
 		f.startDiscovery()
@@ -73,8 +73,8 @@
 	return newService(f.loop, listener, f, maxDeadlineMS(cfg.Settings.Classes)), f, nil
 }
 
-// controlSettings are the settings of package control, with bounds that follow from
-// the machine's limits.
+// controlSettings returns the settings for package control, with the limit of open
+// requests lowered to what the file descriptors allow.
 func controlSettings(cfg *Config) (control.Settings, error) {
 	settings, err := cfg.Settings.Control()
 	if err != nil {
@@ -88,7 +88,7 @@
 	return settings, nil
 }
 
-// subsetPlan says which engines this front end of a large fleet is to use.
+// subsetPlan returns the plan by which this front end selects its subset of the engines.
 func subsetPlan(cfg *Config, settings control.Settings) subset.Plan {
 	return subset.Plan{
 		GatewayIndex: settings.GatewayIndex,
@@ -98,7 +98,7 @@
 	}
 }
 
-// maxOrOne is the largest of the values and 1.
+// maxOrOne returns the largest value, or 1 if all values are smaller.
 func maxOrOne(values []int) int {
 	largest := 1
 	for _, value := range values {
@@ -138,23 +138,23 @@
 	})
 }
 
-// replicatesState reports whether this front end has a part in the fleet's replicated
+// replicatesState reports whether this front end takes part in replicating the fleet's
 // state.
 func (f *platformFrontEnd) replicatesState() bool { return f.cluster != nil && f.cluster.Replicates() }
 
 // Serve accepts clients until the listener is closed.
 func (f *platformFrontEnd) Serve(listener net.Listener) { f.httpServer.Serve(listener) }
 
-// ServeConn serves a client that Serve did not accept.
+// ServeConn serves a client's connection that Serve did not accept.
 func (f *platformFrontEnd) ServeConn(conn net.Conn) { f.httpServer.ServeConn(conn) }
 
 func (f *platformFrontEnd) started() { f.admin.start() }
 
 func (f *platformFrontEnd) replaced() bool { return f.admin.replaced() }
 
-// beginShutdown has all parts know that the program is to end. Where another process
-// has succeeded this one, this one leaves its place among the peers to it: they
-// hear from one process of a front end at a time.
+// beginShutdown notifies the HTTP server, the operators' API and the cluster of the
+// shutdown. If another process has replaced this one, it stops communicating with
+// peers: they must receive messages from one process of a front end at a time.
 func (f *platformFrontEnd) beginShutdown(replaced bool) {
 	f.shuttingDown = true
 	f.httpServer.BeginShutdown()
--- a/internal/server/handover.go
+++ b/internal/server/handover.go
@@ -13,26 +13,26 @@
 	"syscall"
 )
 
-// handoverFile is the file in $TMPDIR by which the processes of one front end
-// succeed one another in an upgrade: it tells which one serves, and which engines
-// operators have disabled. Without a $TMPDIR the state is held in memory, and ends
+// handoverFile is the file in $TMPDIR through which one process of a front end hands over
+// to the next in an upgrade. It records which process became ready last and which engines
+// operators have disabled. If $TMPDIR is not set, the state is kept in memory and lost
 // with the process. Its methods may be called from any goroutine.
 type handoverFile struct {
 	path string // empty: in memory
 
 	mu       sync.Mutex
 	recorded handoverState   // as this process last wrote or read it
-	pending  map[string]bool // engines, disabled or not: overrides that could not be written yet
-	sequence int             // counts the states returned
+	pending  map[string]bool // overrides not written yet: whether an engine is disabled, by id
+	sequence int             // the number of states returned so far
 }
 
 // handoverState is what the file holds.
 type handoverState struct {
-	Version         int      `json:"turn"`    // counts the updates
-	ReadyProcess    string   `json:"process"` // token of the process that was ready last
+	Version         int      `json:"turn"`    // the number of updates
+	ReadyProcess    string   `json:"process"` // token of the process that became ready last
 	DisabledEngines []string `json:"out"`     // ids
 
-	sequence int // in which this process came to know of states; not stored
+	sequence int // orders the states that this process has obtained; not stored
 }
 
 func newHandoverFile(frontEnd string) *handoverFile {
@@ -43,19 +43,19 @@
 	return h
 }
 
-// read returns the state with all overrides of this process; it is zero at a front
-// end's first start.
+// read returns the state in the file with the pending overrides of this process. At the
+// first start of a front end, the state is zero.
 func (h *handoverFile) read() (handoverState, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	state, err := h.load()
-	if err == nil && state.Version > 0 { // else the file is gone
+	if err == nil && state.Version > 0 { // 0: the file does not exist
 		h.recorded = state
 	}
 	return h.current(), err
 }
 
-// current is the state as it was recorded last, with the overrides that are pending.
+// current returns the state as last recorded, with the pending overrides.
 func (h *handoverFile) current() handoverState {
 	state := h.recorded.clone()
 	state.setDisabled(h.pending)
@@ -64,8 +64,8 @@
 	return state
 }
 
-// update changes the state, with the overrides that are pending, and returns it. After
-// an error the file is unchanged.
+// update applies a change and the pending overrides to the state, writes it and returns
+// it. After an error the file is unchanged.
 func (h *handoverFile) update(change func(*handoverState)) (handoverState, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -73,9 +73,9 @@
 	return h.current(), err
 }
 
-// setOverride records that an engine is disabled, or that it is not, and returns the
-// state. An override that can't be written is in force in this process all the same:
-// it is pending, and part of each state that is returned, until it is written.
+// setOverride records whether an engine is disabled, and returns the state. An override
+// that can't be written still applies in this process: until it is written, it is pending
+// and part of each state that is returned.
 func (h *handoverFile) setOverride(engine string, disabled bool) (handoverState, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -98,16 +98,17 @@
 	return h.record(h.restoreIfMissing)
 }
 
-// restoreIfMissing is a change that puts back what was recorded, where the file is gone.
+// restoreIfMissing is a change that restores the last recorded state if the file no longer
+// exists.
 func (h *handoverFile) restoreIfMissing(state *handoverState) {
 	if state.Version == 0 {
 		*state = h.recorded.clone()
 	}
 }
 
-// record writes a change of the state, with the overrides that are pending. A lock
-// keeps two processes from undoing each other's updates; a rename, from reading half
-// a file.
+// record applies a change and the pending overrides to the state, and writes it. The lock
+// prevents two processes from undoing each other's updates. Replacing the file by a rename
+// prevents a process from reading a file that is half written.
 func (h *handoverFile) record(change func(*handoverState)) error {
 	if h.path != "" {
 		unlock, err := lockFile(h.path + ".lock")
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// load reads the file. The state is zero where there is none.
+// load reads the file. If the file does not exist, the state is zero.
 func (h *handoverFile) load() (handoverState, error) {
 	if h.path == "" {
 		return h.recorded.clone(), nil
@@ -165,13 +166,13 @@
 	return os.Rename(temporary, h.path)
 }
 
-// clone returns a copy that shares nothing with the state.
+// clone returns a copy that shares no memory with the state.
 func (s handoverState) clone() handoverState {
 	s.DisabledEngines = slices.Clone(s.DisabledEngines)
 	return s
 }
 
-// setDisabled notes overrides, which tell of each engine whether it is disabled.
+// setDisabled applies overrides, which map engine ids to whether the engine is disabled.
 func (s *handoverState) setDisabled(overrides map[string]bool) {
 	for _, engine := range slices.Sorted(maps.Keys(overrides)) {
 		s.DisabledEngines = slices.DeleteFunc(s.DisabledEngines, func(id string) bool { return id == engine })
@@ -181,13 +182,13 @@
 	}
 }
 
-// lockFile takes an exclusive lock on a file, and waits for it.
+// lockFile waits for an exclusive lock on a file. It creates the file if necessary.
 func lockFile(path string) (unlock func(), err error) {
 	lock, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	unlock = func() { _ = lock.Close() } // which gives the lock back
+	unlock = func() { _ = lock.Close() } // closing the file releases the lock
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
 		unlock()
 		return nil, fmt.Errorf("lock %s: %w", path, err)
@@ -195,8 +196,8 @@
 	return unlock, nil
 }
 
-// changedSince reports whether the file is another than the one last seen, which it
-// then becomes. It is false for a file that is not there.
+// changedSince reports whether the file was replaced or modified since the call that set
+// *seen, and updates *seen. It returns false if the file does not exist.
 func (h *handoverFile) changedSince(seen *os.FileInfo) bool {
 	if h.path == "" {
 		return false
--- a/internal/server/leasecoordinator.go
+++ b/internal/server/leasecoordinator.go
@@ -7,17 +7,16 @@
 	"dewhill/internal/lease"
 )
 
-// leaseCoordinator takes requests for leases of the MySQL front end's loads to the
-// loop of the platform front end, whose cluster grants them, and the decisions
-// back. It implements mysql.Leases. Neither loop waits for the other, as each would
-// wait for the other's full queue for good: every message has a goroutine of its
-// own.
+// leaseCoordinator forwards lease requests for loads of the MySQL front end to the loop of
+// the platform front end, whose cluster grants the leases, and forwards the decisions
+// back. It implements mysql.Leases. Each message is posted on a goroutine of its own, as
+// neither loop may wait for the other: if both queues were full, they would deadlock.
 type leaseCoordinator struct {
 	platform  *platformFrontEnd
 	mysqlLoop *EventLoop
 }
 
-// leaseKey is the key of a load's lease: the first bytes of its name's hash.
+// leaseKey returns the key of a load's lease: the first bytes of the hash of its name.
 func leaseKey(load string) lease.Key {
 	var key lease.Key
 	hash := sha256.Sum256([]byte(load))
@@ -25,9 +24,9 @@
 	return key
 }
 
-// Acquire asks the cluster for the lease of a load within a time. retried says that
-// the client has sent the load before. decided is called once, in the MySQL front
-// end's loop.
+// Acquire requests the lease of a load from the cluster. timeoutMS limits the time for the
+// decision. retried means that the client has sent the load before. decided is called
+// once, on the MySQL front end's loop.
 func (c leaseCoordinator) Acquire(
 	load, statement string, timeoutMS float64, retried bool, decided func(lease.Decision),
 ) {
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -7,14 +7,15 @@
 	"syscall"
 )
 
-// The collector runs rarely below the memory limit and keeps the heap under it.
+// The garbage collector runs rarely while the heap is far below the memory limit, and
+// keeps it below the limit.
 const (
-	heapLimitPercent = 60 // of the machine's memory, for the heap
+	heapLimitPercent = 60 // memory limit of the runtime, in percent of the configured memory
 	gcPercent        = 400
 )
 
-// applyResourceLimits sets the scheduler and the collector to the machine's limits.
-// A limit of 0 leaves the runtime's default.
+// applyResourceLimits configures the runtime's scheduler and garbage collector for a number
+// of cores and an amount of memory. A limit of 0 leaves the runtime's default.
 func applyResourceLimits(cores float64, memoryMB int) {
 	if cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(cores))))
@@ -26,36 +27,39 @@
 	}
 }
 
-// How file descriptors are divided.
+// The division of file descriptors.
 const (
 	defaultDescriptors    = 1024
 	minDescriptors        = 32
-	minTrafficDescriptors = 8 // for clients and engines together
+	minTrafficDescriptors = 8 // the minimum for clients and engines together
 
-	// reservedDescriptors are nobody else's: standard streams, the runtime's own, the
-	// listeners, the peers' socket, two connections to the endpoint list as one is
-	// replaced by another, and files that are read or written.
+	// reservedDescriptors are for the standard streams, the runtime, the listeners, the
+	// socket for peers, two connections to the discovery service while one replaces the
+	// other, and files that are read or written.
 	reservedDescriptors = 16
 
-	operatorDivisor        = 16 // one descriptor in so many is for operators' calls, where they may call
-	engineDivisor          = 3  // one in so many of the rest is for engines
-	overLimitClientDivisor = 5  // one client in so many may be connected over those that are served
+	operatorDivisor = 16 // 1/operatorDivisor of the descriptors is for operators, if their API is on
+	engineDivisor   = 3  // 1/engineDivisor of the rest is for engines
 
-	// openRequestDivisor bounds open requests to one descriptor in so many: each has
-	// a client's connection of its own.
+	// 1/overLimitClientDivisor of the clients' descriptors is for connections over the limit,
+	// which are rejected.
+	overLimitClientDivisor = 5
+
+	// 1/openRequestDivisor of the descriptors is the limit of open requests: each open
+	// request has a client connection of its own.
 	openRequestDivisor = 3
 )
 
-// descriptorLimits are how many connections each side may have.
+// descriptorLimits are the limits of connections of each kind.
 type descriptorLimits struct {
 	clients   int
 	engines   int
 	operators int
 }
 
-// divideDescriptors divides the file descriptors. Each side has a limit of its own,
-// so that no number of clients keeps the program from its endpoint list, its
-// engines, its peers or its operators.
+// divideDescriptors divides the file descriptors that the configuration and the system
+// allow. Clients, engines and operators have separate limits, so that no number of clients
+// cuts the program off from its endpoint list, its engines, its peers or its operators.
 func divideDescriptors(descriptors int, operatorAPIEnabled bool) descriptorLimits {
 	var system syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system) == nil && system.Cur < uint64(descriptors) {
--- a/internal/server/listen.go
+++ b/internal/server/listen.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	addressInUseTimeout       = 5 * time.Second // for a process that is ending to free its addresses
+	addressInUseTimeout       = 5 * time.Second // for another process to free its address
 	addressInUseRetryInterval = 20 * time.Millisecond
 )
 
-// listenConfig makes sockets. If shared, two processes of one front end may bind the
-// same address, as in an upgrade.
+// listenConfig returns the configuration for opening sockets. If shared is true, two
+// processes of one front end may bind the same address, as in an upgrade.
 func listenConfig(shared bool) *net.ListenConfig {
 	if !shared {
 		return &net.ListenConfig{}
@@ -31,16 +31,15 @@
 	}}
 }
 
-// listen opens a TCP listener, and waits for an address that is still in use.
+// listen opens a TCP listener. It waits for an address that is still in use.
 func listen(address string, shared bool) (net.Listener, error) {
 	return retryAddressInUse(func() (net.Listener, error) {
 		return listenConfig(shared).Listen(context.Background(), "tcp", address)
 	})
 }
 
-// retryAddressInUse opens an address, and tries again for a while where another
-// process has it. It guards the start of a process whose predecessor is still
-// ending.
+// retryAddressInUse calls open, and retries for addressInUseTimeout while the address is
+// in use: the previous process of the front end may still be shutting down.
 func retryAddressInUse[T any](open func() (T, error)) (T, error) {
 	deadline := time.Now().Add(addressInUseTimeout)
 	for {
@@ -52,9 +51,9 @@
 	}
 }
 
-// closeAndDrain closes a listener and hands over the connections that waited in its
-// backlog. It guards those that the system has accepted for this process: closed
-// with the listener, they would be reset unread.
+// closeAndDrain closes a listener and serves the connections that waited in its backlog.
+// The system has already accepted them for this process: if they were closed with the
+// listener, they would be reset before any request was read.
 func closeAndDrain(listener net.Listener, serve func(net.Conn)) {
 	waiting := acceptBacklog(listener)
 	_ = listener.Close()
@@ -63,7 +62,7 @@
 	}
 }
 
-// acceptBacklog accepts all connections that wait now, without waiting for more.
+// acceptBacklog accepts all connections in the backlog, without waiting for more.
 func acceptBacklog(listener net.Listener) []net.Conn {
 	socket, ok := listener.(syscall.Conn)
 	if !ok {
@@ -74,7 +73,7 @@
 		return nil
 	}
 	var waiting []net.Conn
-	_ = raw.Control(func(fd uintptr) { // fails only where the listener is closed: then none wait
+	_ = raw.Control(func(fd uintptr) { // fails only if the listener is closed: then no connection waits
 		for {
 			client, _, err := syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 			if errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.ECONNABORTED) {
@@ -91,9 +90,9 @@
 	return waiting
 }
 
-// toConn makes a connection of a descriptor, which it takes over.
+// toConn converts a descriptor to a connection. It takes ownership of the descriptor.
 func toConn(fd int) (net.Conn, error) {
 	file := os.NewFile(uintptr(fd), "client")
-	defer func() { _ = file.Close() }() // the connection has a duplicate
+	defer func() { _ = file.Close() }() // FileConn duplicates the descriptor
 	return net.FileConn(file)
 }
--- a/internal/server/mysqlfrontend.go
+++ b/internal/server/mysqlfrontend.go
@@ -11,17 +11,17 @@
 )
 
 // errMySQLDisabled is the error of a reload that would turn the MySQL front end off.
-var errMySQLDisabled = errors.New("there is no file, or it says off")
+var errMySQLDisabled = errors.New("the file does not exist or turns the MySQL front end off")
 
-// MySQLConfig is the MySQL front end's configuration and the path of its file, so
-// that its engines can be read again.
+// MySQLConfig is the MySQL front end's configuration, with the path of its file for
+// reloads.
 type MySQLConfig struct {
 	Path   string
 	Config *mysql.Config
 }
 
-// ReadMySQLConfig reads the MySQL front end's file; nil where it is off, or where
-// there is no file.
+// ReadMySQLConfig reads the MySQL front end's file. It returns nil if the file does not
+// exist or turns the front end off.
 func ReadMySQLConfig(path string) (*MySQLConfig, error) {
 	cfg, err := mysql.ReadConfig(path)
 	if cfg == nil || err != nil {
@@ -39,9 +39,8 @@
 	server *mysql.Server
 }
 
-// newMySQLFrontEnd makes a front end and its service. platform is this process's
-// platform front end, where it has one: its cluster grants the leases of loads,
-// where state is replicated.
+// newMySQLFrontEnd creates a front end and its service. platform is the platform front end
+// of this process, or nil: if state is replicated, its cluster grants the leases of loads.
 func newMySQLFrontEnd(config *MySQLConfig, platform *platformFrontEnd) (*service, error) {
 	cfg := config.Config
 	settings, err := mySQLControlSettings(cfg)
@@ -62,14 +61,14 @@
 	}
 	f.applyEngines(cfg.Engines)
 	deadlineMS := 0.0
-	if platform != nil { // the platform kills the process some time after a shutdown
+	if platform != nil { // the platform kills the process some time after the shutdown signal
 		deadlineMS = maxDeadlineMS(cfg.Settings.Classes)
 	}
 	return newService(f.loop, listener, f, deadlineMS), nil
 }
 
-// mySQLControlSettings are the settings of package control. This front end has no
-// peers.
+// mySQLControlSettings returns the settings for package control. Gossip is off, as this
+// front end has no peers.
 func mySQLControlSettings(cfg *mysql.Config) (control.Settings, error) {
 	settings, err := cfg.Settings.Control()
 	if err != nil {
@@ -84,14 +83,14 @@
 	return settings, nil
 }
 
-// applyEngines replaces the engines.
+// applyEngines replaces the engines in the pool and in the dispatcher.
 func (f *mySQLFrontEnd) applyEngines(engines []mysql.Engine) {
 	infos := f.pool.SetEndpoints(engines, f.cfg.Settings.EngineKinds)
 	f.loop.apply(dispatch.EndpointsChanged{Snapshot: true, Engines: infos})
 }
 
-// reload reads the file again and has the loop apply its engines. All else is for the
-// next start.
+// reload reads the file again and has the loop apply its engines. All other settings take
+// effect at the next start.
 func (f *mySQLFrontEnd) reload() {
 	cfg, err := readWithRetries(f.rereadConfig)
 	f.loop.Post(func() {
@@ -104,6 +103,7 @@
 	})
 }
 
+// rereadConfig returns an error instead of a nil configuration.
 func (f *mySQLFrontEnd) rereadConfig() (*mysql.Config, error) {
 	cfg, err := mysql.ReadConfig(f.path)
 	if cfg == nil && err == nil {
@@ -125,12 +125,12 @@
 // Serve accepts clients until the listener is closed.
 func (f *mySQLFrontEnd) Serve(listener net.Listener) { f.server.Serve(listener) }
 
-// ServeConn serves a client that Serve did not accept.
+// ServeConn serves a client's connection that Serve did not accept.
 func (f *mySQLFrontEnd) ServeConn(conn net.Conn) { f.server.ServeConn(conn) }
 
 func (f *mySQLFrontEnd) started() {}
 
-// replaced is always false: only the platform front end hands over.
+// replaced returns false: only the platform front end hands over to another process.
 func (f *mySQLFrontEnd) replaced() bool { return false }
 
 func (f *mySQLFrontEnd) beginShutdown(bool) { f.server.BeginShutdown() }
--- a/internal/server/overrides.go
+++ b/internal/server/overrides.go
@@ -12,13 +12,13 @@
 	"dewhill/internal/replication"
 )
 
-// overrideWriteTimeout is beyond every time that the settings allow for an override to be
-// stored.
+// overrideWriteTimeout is longer than any time that the settings allow for storing an
+// override.
 const overrideWriteTimeout = 90 * time.Second
 
 // SetEngineOverride disables an engine or enables it again. It returns once the
-// dispatcher knows or, where the fleet replicates its state, once the override is
-// stored there. An engine that was never listed is an error.
+// dispatcher has applied the override or, if the fleet replicates its state, once enough
+// front ends have stored it. It returns an error for an engine that was never listed.
 func (a *adminController) SetEngineOverride(engine string, disabled bool) error {
 	f := a.frontEnd
 	found := false
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// applyHandover applies which engines are disabled. A state that was read before a
-// later update must not undo it.
+// applyHandover applies the overrides in a handover state. It ignores a state that is
+// older than the one applied last, which it would undo.
 func (a *adminController) applyHandover(state handoverState) {
 	if state.sequence <= a.appliedSequence {
 		return
@@ -54,8 +54,7 @@
 	}
 }
 
-// setEngineDisabled has the dispatcher know that an engine is disabled by override, or
-// no longer.
+// setEngineDisabled applies an override of an engine, or lifts it.
 func (a *adminController) setEngineDisabled(id string, disabled bool) {
 	f := a.frontEnd
 	if disabled == a.disabled[id] {
@@ -74,7 +73,7 @@
 	f.loop.apply(dispatch.OverrideChanged{Engine: id, Disabled: disabled})
 }
 
-// recordListed remembers that an engine was listed: it may have an override.
+// recordListed records that an engine was listed: operators may then override it.
 func (a *adminController) recordListed(id string) {
 	if len(a.everListed) >= maxEverListed {
 		clear(a.everListed)
@@ -82,8 +81,8 @@
 	a.everListed[id] = true
 }
 
-// OverrideChanged applies an override of the fleet's replicated state. It is called in
-// the loop, as is CaughtUp.
+// OverrideChanged applies an override from the fleet's replicated state. Like CaughtUp, it
+// is called on the loop.
 func (a *adminController) OverrideChanged(key replication.Key, disabled bool, _ string) {
 	switch key.Kind {
 	case replication.Engine:
@@ -92,18 +91,19 @@
 		if key.ID == a.frontEnd.cfg.Name && a.outOfService != disabled {
 			a.applyInService(!disabled)
 		}
-	default: // of a kind that a later version has
+	default: // a kind that a later version has added
 	}
 }
 
-// CaughtUp lets this front end work: it knows which engines it must not use.
+// CaughtUp starts discovery and stops draining clients. It is called once this front end has
+// received the overrides of engines that it must not use, or stopped waiting for them.
 func (a *adminController) CaughtUp() {
 	a.frontEnd.startDiscovery()
 	a.updateDraining()
 }
 
-// writeOverride writes an override to the fleet's replicated state and waits until as
-// many front ends hold it as the settings require.
+// writeOverride writes an override to the fleet's replicated state, and waits until as
+// many front ends have stored it as the settings require.
 func (a *adminController) writeOverride(key replication.Key, disabled bool) error {
 	f := a.frontEnd
 	results := make(chan cluster.WriteResult, 1)
@@ -126,8 +126,8 @@
 	}
 }
 
-// writeError is the refusal of a write that too few front ends hold; nil for one that
-// enough hold.
+// writeError returns an error for a write that too few front ends have stored, or nil if
+// enough have stored it.
 func writeError(result cluster.WriteResult) error {
 	if result.OK {
 		return nil
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -15,9 +15,9 @@
 	"dewhill/internal/store"
 )
 
-// openPeers opens the transport between front ends and joins the cluster, where
-// either is configured. Until it is closed, a goroutine receives datagrams and
-// posts them to the loop.
+// openPeers opens the transport between front ends and joins the cluster, if they are
+// configured. A goroutine receives datagrams and posts them to the loop until the
+// transport is closed.
 func (f *platformFrontEnd) openPeers(settings control.Settings) error {
 	if f.cfg.PeerListen == "" || !settings.CanGossip && !f.cfg.Cluster.Enabled {
 		return nil
@@ -41,9 +41,9 @@
 	return nil
 }
 
-// openTransport opens the socket for datagrams. Two processes of one name would each
-// vote and acknowledge with a memory of its own: where state is replicated, the
-// address is held by one, and one that is in use is an error.
+// openTransport opens the socket for datagrams. If state is replicated, the socket is not
+// shared, and an address that is in use is an error: two processes with the same name
+// would each vote and acknowledge from a separate state.
 func (f *platformFrontEnd) openTransport(selfIndex int) (*peer.Transport, error) {
 	open := func(shared bool) (*peer.Transport, error) {
 		return peer.Open(listenConfig(shared), f.cfg.PeerListen, f.cfg.Peers, f.cfg.PeersAll, selfIndex)
@@ -58,7 +58,7 @@
 	return transport, err
 }
 
-// joinCluster starts this front end's part in the cluster, if that is on.
+// joinCluster makes this front end a member of the cluster, if the cluster is enabled.
 func (f *platformFrontEnd) joinCluster(selfIndex int) error {
 	options := f.cfg.Cluster
 	if !options.Enabled {
@@ -75,16 +75,16 @@
 		Index: selfIndex,
 		Peers: f.peers.Peers(),
 		Addr:  f.peers.Addr(),
-		// Not the configuration's seed: a process that is started again with it must not
-		// pass for the one before.
+		// Not the seed in the configuration: a restarted process must not be mistaken for
+		// the previous one.
 		Seed: rand.Uint64(),
 	}
 	f.cluster = cluster.New(options, identity, f.loop, f.peers, state, f.setAliveFrontEnds)
 	return nil
 }
 
-// openStore opens the folder where cluster state outlives the process. Without a
-// folder there is no store.
+// openStore opens the store in a directory in which the cluster's state is persisted. It
+// returns nil if dir is empty.
 func (f *platformFrontEnd) openStore(dir string) (cluster.Store, error) {
 	if dir == "" {
 		return nil, nil
@@ -100,9 +100,9 @@
 	return opened, nil
 }
 
-// receiveDatagram handles a datagram: gossip is the dispatcher's, all other kinds are
-// the cluster's, and without one nobody's. A negative index is of a sender that is
-// not in the list of peers.
+// receiveDatagram handles a datagram. Gossip from a peer goes to the dispatcher. All other
+// datagrams go to the cluster, or are only counted if there is no cluster. A negative
+// index means that the sender is not in the list of peers.
 func (f *platformFrontEnd) receiveDatagram(peerIndex int, from netip.AddrPort, message []byte) {
 	kind, _, err := peer.Unwrap(message)
 	switch {
@@ -124,8 +124,8 @@
 	}
 }
 
-// setAliveFrontEnds applies which front ends are alive: shares of work are divided
-// among them. The index in the slice is that in the list of peers.
+// setAliveFrontEnds applies a change of the front ends that are alive: quotas and engines
+// are divided among these. The index in alive is that in the list of peers.
 func (f *platformFrontEnd) setAliveFrontEnds(alive []bool) {
 	f.endpoints.plan.Alive = slices.Clone(alive)
 	aliveCount := 0
--- a/internal/server/recentids.go
+++ b/internal/server/recentids.go
@@ -5,14 +5,15 @@
 	recentIDMaxAgeMS = 60000.0
 )
 
-// recentIDs remembers the request ids that were accepted lately, so that none is
-// accepted twice. Old ones are forgotten, and the oldest where there are too many.
+// recentIDs holds the request ids that were accepted recently, so that no id is accepted
+// twice. It removes ids older than recentIDMaxAgeMS, and the oldest ones if it has more
+// than maxRecentIDs.
 type recentIDs struct {
 	accepted map[string]bool
 	order    []recentID // oldest first
 }
 
-// recentID is an id and when it was accepted.
+// recentID is a request id and the time at which it was accepted.
 type recentID struct {
 	id           string
 	acceptedAtMS float64
@@ -20,10 +21,10 @@
 
 func newRecentIDs() recentIDs { return recentIDs{accepted: map[string]bool{}} }
 
-// contains reports whether an id was accepted lately.
+// contains reports whether an id was accepted recently.
 func (r *recentIDs) contains(id string) bool { return r.accepted[id] }
 
-// add remembers an id that is accepted now, and forgets what is too old.
+// add adds an id that is accepted now, and removes old ids.
 func (r *recentIDs) add(id string, nowMS float64) {
 	r.accepted[id] = true
 	r.order = append(r.order, recentID{id: id, acceptedAtMS: nowMS})
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -7,9 +7,9 @@
 	reloadRetryInterval = 50 * time.Millisecond
 )
 
-// readWithRetries reads a configuration after SIGHUP, and again for a while where it
-// can't be used. It guards against a file that is being written: this signal may be
-// the only one.
+// readWithRetries reads a configuration after SIGHUP, and retries for a short time if
+// reading fails. The file may still be being written, and there may be no further
+// signal once it is complete.
 func readWithRetries[T any](read func() (T, error)) (T, error) {
 	config, err := read()
 	for retries := 0; err != nil && retries < maxReloadRetries; retries++ {
@@ -25,9 +25,10 @@
 	f.loop.Post(func() { f.applyReload(cfg, err) })
 }
 
-// applyReload applies what a new configuration may change while the program runs: the
-// address of the endpoint list, and the updates of it that are known. All else is
-// for the next start. One that can't be read changes nothing.
+// applyReload applies the parts of a new configuration that can change while the
+// program runs: the address of the discovery service and the endpoint updates in the
+// file. All other settings take effect at the next start. If the configuration could
+// not be read, nothing changes.
 func (f *platformFrontEnd) applyReload(cfg *Config, err error) {
 	if err != nil {
 		f.counters.FailedReloads++
--- a/internal/server/requestlog.go
+++ b/internal/server/requestlog.go
@@ -8,14 +8,14 @@
 	"dewhill/internal/dispatch"
 )
 
-// The rate at which lines about single requests may be logged. In an overload
-// requests are rejected by the thousand: then the counters show the rest.
+// The rate limit of log lines about single requests. In an overload thousands of requests
+// are rejected; the counters include those that are not logged.
 const (
 	maxLineBurst   = 100
 	linesPerSecond = 10.0
 )
 
-// attemptResultNames are the names of results in the log and in the counters.
+// attemptResultNames are the names of attempt results in the log and in the counters.
 var attemptResultNames = map[control.Result]string{
 	control.Served:        "served",
 	control.Errored:       "error",
@@ -27,24 +27,24 @@
 	control.NotSent:       "moot",
 }
 
-// requestLogCounters count requests that were not simply served, by cause.
+// requestLogCounters count requests that were not served by their first attempt, by cause.
 type requestLogCounters struct {
 	Rejected        map[string]int `json:"Refused"`  // by reason
 	Failed          map[string]int `json:"Failed"`   // by reason
-	Retries         map[string]int `json:"Retries"`  // by the result of the attempt before
+	Retries         map[string]int `json:"Retries"`  // by the result of the previous attempt
 	Cancelled       map[string]int `json:"GivenUp"`  // attempts that the dispatcher cancelled, by reason
-	SuppressedLines int            `json:"Unlogged"` // left out to keep the rate
+	SuppressedLines int            `json:"Unlogged"` // omitted because of the rate limit
 }
 
-// requestLog logs and counts requests that were not served by their first attempt.
-// The rate of lines is limited by a token bucket.
+// requestLog logs and counts requests that were not served by their first attempt. A
+// token bucket limits the rate of log lines.
 type requestLog struct {
 	counters   requestLogCounters
-	classes    []string // names; a class without one is logged by its number
+	classes    []string // names by class index; a class without a name is logged by its index
 	logf       func(format string, args ...any)
-	tokens     float64 // lines that may be logged at refilledAt
+	tokens     float64 // the lines that could be logged at refilledAt
 	refilledAt float64 // in ms
-	suppressed int     // lines left out since the last one
+	suppressed int     // lines omitted since the last one that was logged
 }
 
 func newRequestLog(logf func(string, ...any)) *requestLog {
@@ -60,7 +60,7 @@
 	}
 }
 
-// requestClosed counts and logs how a request ended.
+// requestClosed counts and logs the outcome of a request.
 func (r *requestLog) requestClosed(nowMS float64, closed dispatch.RequestClosed) {
 	r.count(closed)
 	if !r.allowLine(nowMS) {
@@ -88,8 +88,8 @@
 	}
 }
 
-// allowLine reports whether a line may be logged now, and logs first how many were
-// suppressed before it.
+// allowLine reports whether a line may be logged now. If lines were suppressed before, it
+// first logs their number.
 func (r *requestLog) allowLine(nowMS float64) bool {
 	r.tokens = min(maxLineBurst, r.tokens+(nowMS-r.refilledAt)/1000*linesPerSecond)
 	r.refilledAt = nowMS
@@ -113,7 +113,8 @@
 	return r.classes[class]
 }
 
-// inParentheses is a reason as it ends a phrase; nothing where there is none.
+// inParentheses formats a reason for the end of a phrase. It returns an empty string if
+// there is no reason.
 func inParentheses(reason control.Reason) string {
 	if reason == control.NoReason {
 		return ""
@@ -121,7 +122,8 @@
 	return fmt.Sprintf(" (%v)", reason)
 }
 
-// describeAttempts describes attempts in order: engine, start, duration, end.
+// describeAttempts formats attempts in order, each with its engine, start, duration and
+// result.
 func describeAttempts(attempts []dispatch.AttemptRecord) string {
 	var b strings.Builder
 	for i, a := range attempts {
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -7,24 +7,24 @@
 	"dewhill/internal/dispatch"
 )
 
-// errDuplicateID is returned for a request whose id was accepted lately: accepted
-// twice, a load could run twice.
+// errDuplicateID is returned for a request whose id was accepted recently. If it were
+// accepted twice, a load could run twice.
 var errDuplicateID = errors.New("this id was taken before")
 
-// openRequest is a request that is owed a response.
+// openRequest is a request that has not been answered yet.
 type openRequest struct {
 	class      int
 	deadlineMS float64
-	work       any // for the engine backend
+	work       any // passed to the engine backend with each attempt
 	respond    func(dispatch.Answer, any)
-	result     any // of the attempt that was served, for respond
+	result     any // result of the attempt that was served, passed to respond
 }
 
-// OpenRequests is how many requests are owed a response.
+// OpenRequests returns the number of requests that have not been answered yet.
 func (l *EventLoop) OpenRequests() int { return l.dispatcher.OpenRequests() }
 
-// Submit accepts a request. Its response comes once, in the loop. A request whose
-// id was accepted lately is refused with an error.
+// Submit accepts a request. respond is called once, on the loop, unless the request is
+// abandoned. Submit returns an error for a request whose id was accepted recently.
 func (l *EventLoop) Submit(r dispatch.Request, work any, respond func(dispatch.Answer, any)) error {
 	if l.requests[r.ID] != nil || l.recentIDs.contains(r.ID) {
 		return errDuplicateID
@@ -46,7 +46,7 @@
 	l.backend.StartAttempt(attempt, r.class, r.work)
 }
 
-// respond responds to a request and forgets it.
+// respond sends the response to a request and removes the request.
 func (l *EventLoop) respond(a dispatch.Answer) {
 	r := l.requests[a.RequestID]
 	if r == nil {
@@ -65,13 +65,12 @@
 	case dispatch.Failed:
 		l.Counters.Failed++
 	default:
-		l.Logf("request %s has the unknown outcome %d", a.RequestID, a.Outcome)
+		l.Logf("request %s: unknown outcome %d", a.RequestID, a.Outcome)
 	}
 	r.respond(a, r.result)
 }
 
-// AbandonRequest gives up a request whose client has disconnected: nothing is owed
-// any more.
+// AbandonRequest cancels a request whose client has disconnected. It gets no response.
 func (l *EventLoop) AbandonRequest(id string) {
 	if l.requests[id] == nil {
 		return
@@ -81,8 +80,8 @@
 	l.apply(dispatch.RequestAbandoned{RequestID: id})
 }
 
-// DetachRequest records that nobody waits for a request whose outcome must be known
-// all the same: no attempt begins any more.
+// DetachRequest records that the client no longer waits for a request whose outcome must
+// still be determined: running attempts continue, and no new one starts.
 func (l *EventLoop) DetachRequest(id string) {
 	if l.requests[id] == nil {
 		return
@@ -98,7 +97,7 @@
 	l.apply(dispatch.ClientPresenceChanged{RequestID: id, Disconnected: disconnected})
 }
 
-// AttemptEnded applies the end of an attempt, with its result if it was served.
+// AttemptEnded applies the end of an attempt. result is its result if it was served.
 func (l *EventLoop) AttemptEnded(ev dispatch.AttemptEnded, result any) {
 	l.Counters.AttemptResults[attemptResultNames[ev.Result]]++
 	if r := l.requests[ev.RequestID]; r != nil && ev.Result == control.Served {
@@ -107,7 +106,7 @@
 	l.apply(ev)
 }
 
-// AttemptStatus applies what an engine reports of an attempt that goes on.
+// AttemptStatus applies an engine's status report on an attempt that is still running.
 func (l *EventLoop) AttemptStatus(ev dispatch.AttemptStatus) { l.apply(ev) }
 
 // ProbeEnded applies the end of a health check.
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Run serves until SIGTERM and the last response: as a platform front end if
-// platform is there, as a MySQL front end if mysqlConfig is, or as both. It returns
-// an error if it can't start.
+// Run serves until a shutdown signal and the last response: as a platform front end if
+// platform is not nil, as a MySQL front end if mysqlConfig is not nil, or as both. It
+// returns an error if it can't start.
 func Run(platform *Config, mysqlConfig *MySQLConfig, signals *Signals) error {
 	services, err := newServices(platform, mysqlConfig)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// newServices makes the services, the platform front end's first.
+// newServices creates the services. That of the platform front end is first.
 func newServices(platform *Config, mysqlConfig *MySQLConfig) ([]*service, error) {
 	var services []*service
 	var platformFront *platformFrontEnd
--- a/internal/server/service.go
+++ b/internal/server/service.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// lastWriteDelay is for what was written last to leave the process.
+// lastWriteDelay is the time for the last writes to connections to leave the process.
 const lastWriteDelay = 50 * time.Millisecond
 
-// frontEnd is what a service runs. Methods are called in its loop, where nothing
-// else is said.
+// frontEnd is the front end that a service runs. Its methods are called on its loop unless
+// their comment says otherwise.
 type frontEnd interface {
 	// Serve accepts clients until the listener is closed. It is called on a goroutine
 	// of its own.
@@ -17,18 +17,20 @@
 	// ServeConn serves a connection that Serve did not accept. It may be called from
 	// any goroutine but the loop's.
 	ServeConn(net.Conn)
-	// started is called once, when clients can connect, on the service's goroutine.
+	// started is called once, when clients can connect, on the service's goroutine before
+	// the loop runs.
 	started()
-	// reload reads the configuration again. It is called on the signals' goroutine.
+	// reload reads the configuration again. It is called on a goroutine that handles
+	// signals.
 	reload()
-	// replaced reports whether another process has succeeded this one. It is called
-	// on the signals' goroutine.
+	// replaced reports whether another process has replaced this one. It is called on a
+	// goroutine that handles signals.
 	replaced() bool
-	// beginShutdown is called once, when the program is told to end.
+	// beginShutdown is called once, when the program receives a shutdown signal.
 	beginShutdown(replaced bool)
-	// stopAccepting is called once no connection is accepted any more.
+	// stopAccepting is called when no connection is accepted any more.
 	stopAccepting()
-	// idle reports whether nobody waits for this front end.
+	// idle reports whether no client waits for a response, and no lease is pending.
 	idle() bool
 }
 
@@ -38,9 +40,9 @@
 	loop     *EventLoop
 	listener net.Listener
 	frontEnd frontEnd
-	// maxDeadlineMS is the longest deadline of all classes, where the platform kills
-	// the process some time after it. 0: the requests' own deadlines are the only
-	// bound of a shutdown.
+	// maxDeadlineMS is the longest deadline of all classes, if the platform kills the
+	// process some time after that deadline. If it is 0, only the deadlines of the open
+	// requests limit the time of a shutdown.
 	maxDeadlineMS float64
 
 	acceptDone    chan struct{} // closed once Serve has returned
@@ -58,7 +60,7 @@
 	}
 }
 
-// run serves clients until a shutdown is complete.
+// run serves clients until a shutdown is complete, and then prints the counters.
 func (s *service) run() {
 	go func() {
 		defer close(s.acceptDone)
@@ -72,8 +74,9 @@
 	s.logCounters()
 }
 
-// discardEvents takes what is posted after the loop's end: it belongs to connections
-// that end with the program, and whoever posts must not wait for it.
+// discardEvents discards the functions that are posted after the loop has ended. They
+// belong to connections that end with the program, and the goroutines that post them must
+// not block.
 func (s *service) discardEvents() {
 	for {
 		select {
--- a/internal/server/settingscheck.go
+++ b/internal/server/settingscheck.go
@@ -10,18 +10,19 @@
 	"dewhill/internal/simproto"
 )
 
-// invalidClassNameChars can't be in a field of an engine's request.
+// invalidClassNameChars are the characters that would end a field in a request to an
+// engine.
 const invalidClassNameChars = " ,\t\r\n"
 
-// The values of settings that are one of a few words. Empty is a setting that is left
-// out. What is not here may be the word for something that must not be passed over.
+// The allowed values of enumerated settings; empty means that the setting is left out.
+// Any other value is an error: it may stand for behavior that must not be ignored.
 var (
 	discoveryModes = []string{"", "push", "ask"}
 	reportingModes = []string{"", "none", "answers", "probe"}
 )
 
-// validateSettings returns an error that names a setting that can't be used. Settings that
-// are not known are passed over: the platform may add some.
+// validateSettings returns an error that names the first invalid setting. Unknown
+// settings are ignored: the platform may add some.
 func validateSettings(settings *simproto.Settings) error {
 	if err := checkClassNames(settings.Classes); err != nil {
 		return err
@@ -49,18 +50,19 @@
 	seen := map[string]bool{}
 	for _, class := range classes {
 		if class.Name == "" || seen[class.Name] {
-			return fmt.Errorf("class %q has no name of its own", class.Name)
+			return fmt.Errorf("class %q: the name is empty or used twice", class.Name)
 		}
 		if strings.ContainsAny(class.Name, invalidClassNameChars) {
-			return fmt.Errorf("class %q: the name can't be sent to engines", class.Name)
+			return fmt.Errorf("class %q: the name contains a space, tab, comma or line break", class.Name)
 		}
 		seen[class.Name] = true
 	}
 	return nil
 }
 
-// checkNotNegative returns an error that names the first number below 0: no setting has
-// one, and each would turn a limit into something else.
+// checkNotNegative returns an error that names the first negative number in value. key is
+// the path of value in the settings. No setting may be negative: a negative number would
+// change the meaning of a limit.
 func checkNotNegative(key string, value reflect.Value) error {
 	switch value.Kind() {
 	case reflect.Struct:
@@ -92,7 +94,8 @@
 	return nil
 }
 
-// checkFractions returns an error that names a setting above 1 that is a part of a whole.
+// checkFractions returns an error that names the first setting above 1 among those that
+// are fractions.
 func checkFractions(settings *simproto.Settings) error {
 	type fraction struct {
 		key   string
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -8,25 +8,27 @@
 )
 
 const (
-	// acceptAfterSignal is for how long connections are accepted after the signal to
-	// end: clients connect for 0.4 s more, and send requests for another 0.2 s.
+	// acceptAfterSignal is how long connections are still accepted after the shutdown
+	// signal: clients open connections for 0.4 s more, and send requests on them for
+	// another 0.2 s.
 	acceptAfterSignal = 700 * time.Millisecond
-	// acceptDoneTimeout is for a connection that was accepted as the listener closed.
+	// acceptDoneTimeout limits the wait for Serve to return after the listener was
+	// closed: Serve may hold a connection that it accepted just before.
 	acceptDoneTimeout = 200 * time.Millisecond
 
-	// shutdownMarginMS is how long after the longest deadline every request is
-	// answered: the platform kills the process 700 ms after that deadline.
+	// shutdownMarginMS is the time after the longest deadline at which all open requests
+	// are answered: the platform kills the process 700 ms after that deadline.
 	shutdownMarginMS = 500.0
-	// maxShutdownDeadlineMS bounds the deadline that counts for it; maxShutdownDeadlineIfReplacedMS does
-	// where another process has succeeded this one.
+	// maxShutdownDeadlineMS caps the longest deadline in this calculation.
+	// maxShutdownDeadlineIfReplacedMS is the cap if another process has replaced this one.
 	maxShutdownDeadlineMS           = 3000.0
 	maxShutdownDeadlineIfReplacedMS = 5000.0
 )
 
-// beginShutdown begins a graceful shutdown, the first time it is called. For a while
-// the front end goes on as before, as clients still connect; then idle connections
-// are closed, and each response is the last on its connection. What is open when
-// the process may soon be killed is answered before.
+// beginShutdown begins a graceful shutdown; later calls do nothing. At first the front
+// end still accepts connections, as clients still connect. Then it closes idle
+// connections and ends each other connection with its next response. Requests that are
+// still open shortly before the platform may kill the process are answered then.
 func (s *service) beginShutdown(received os.Signal, replaced bool) {
 	if s.shuttingDown {
 		return
@@ -37,7 +39,8 @@
 
 	acceptFor, maxMS := acceptAfterSignal, maxShutdownDeadlineMS
 	if replaced {
-		// Clients reach the next process: only what waits in the backlog is served.
+		// New clients reach the next process: this one only serves the connections that
+		// wait in its backlog.
 		acceptFor, maxMS = 0, maxShutdownDeadlineIfReplacedMS
 	}
 	time.AfterFunc(acceptFor, s.stopAccepting)
@@ -46,13 +49,14 @@
 	}
 }
 
-// stopAccepting closes the listener and has the loop know that no connection comes
-// any more. It runs on a goroutine of its own.
+// stopAccepting closes the listener and then notifies the loop that no connection is
+// accepted any more. It runs on a goroutine of its own.
 func (s *service) stopAccepting() {
 	closeAndDrain(s.listener, s.frontEnd.ServeConn)
-	// Guards a connection that was accepted as the listener closed: it must be known
-	// before this front end counts as idle. Where the limit of connections is reached,
-	// Serve holds none and may not return for long.
+	// A connection that was accepted just before the listener closed must be registered
+	// before this front end counts as idle. The wait has a limit because Serve may not
+	// return for a long time when the connection limit is reached; in that case it holds
+	// no such connection.
 	select {
 	case <-s.acceptDone:
 	case <-time.After(acceptDoneTimeout):
@@ -63,12 +67,13 @@
 	})
 }
 
-// shutdownComplete reports whether nothing is owed to anybody any more.
+// shutdownComplete reports whether no connection is accepted any more, all requests
+// have been answered and the front end is idle.
 func (s *service) shutdownComplete() bool {
 	return s.acceptStopped && s.loop.OpenRequests() == 0 && s.frontEnd.idle()
 }
 
-// answerOpenRequests has every open request answered now.
+// answerOpenRequests makes the dispatcher answer every open request now.
 func (s *service) answerOpenRequests() {
 	s.loop.Logf("shutdown deadline: answering %d open requests now", s.loop.OpenRequests())
 	s.loop.apply(dispatch.ShutdownDeadline{})
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -6,19 +6,19 @@
 	"syscall"
 )
 
-// Signals are those that the program handles. Each kind has a channel of its own, as
-// the system drops what finds the channel full: a burst of others must not hide the
-// one to end.
+// Signals receives the signals that the program handles. Each kind has its own channel, as
+// package signal drops a signal if its channel is full: a burst of other signals must not
+// cause a shutdown signal to be dropped.
 type Signals struct {
 	terminate     chan os.Signal
 	reload        chan os.Signal
 	printCounters chan os.Signal
 }
 
-// NotifySignals handles signals from now on: SIGTERM and SIGINT end the program
-// gracefully, SIGHUP reads its configuration again, and SIGUSR1 prints its
-// counters. The program calls it before all else: a signal must not kill one that
-// has just started.
+// NotifySignals starts to receive signals. Run handles them: SIGTERM and SIGINT shut the
+// program down gracefully, SIGHUP reloads its configuration, and SIGUSR1 prints its
+// counters. The program calls NotifySignals before anything else, so that a signal does
+// not kill a process that is still starting.
 func NotifySignals() *Signals {
 	s := &Signals{
 		terminate:     make(chan os.Signal, 1),
@@ -31,9 +31,9 @@
 	return s
 }
 
-// handleReloads has the services read their configuration again. It runs until the
-// process ends, on a goroutine of its own: in a loop, all requests would wait for
-// the files.
+// handleReloads reloads the configuration of the services on SIGHUP. It runs until the
+// process ends, on a goroutine of its own: on an event loop, all requests would wait while
+// the files are read.
 func (s *Signals) handleReloads(services []*service) {
 	for range s.reload {
 		for _, svc := range services {
@@ -42,8 +42,8 @@
 	}
 }
 
-// handlePrintAndTerminate prints counters and begins graceful shutdown. It runs until the
-// process ends, on a goroutine of its own.
+// handlePrintAndTerminate prints counters on SIGUSR1, and begins a graceful shutdown on
+// SIGTERM and SIGINT. It runs until the process ends, on a goroutine of its own.
 func (s *Signals) handlePrintAndTerminate(services []*service) {
 	for {
 		select {
@@ -52,8 +52,9 @@
 				svc.loop.Post(svc.logCounters)
 			}
 		case received := <-s.terminate:
-			// Only SIGTERM is sent in an upgrade: the first service is the platform front
-			// end, where there is one.
+			// In an upgrade the process receives SIGTERM, so only SIGTERM can mean that the
+			// process was replaced. The first service is the platform front end, if there is
+			// one.
 			replaced := received == syscall.SIGTERM && services[0].frontEnd.replaced()
 			for _, svc := range services {
 				svc.loop.Post(func() { svc.beginShutdown(received, replaced) })
