--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -22,17 +22,17 @@
 	d.finish(r, Answer{Outcome: Failed, MayHaveRun: r.mayHaveRun()}, reason)
 }
 
-func (d *Dispatcher) finish(r *request, answer Answer, reason control.Reason) {
-	answer.RequestID = r.ID
-	answer.DeadlinePassed = d.nowMS > r.DeadlineAtMS-deadlineToleranceMS
-	d.emit(answer)
-	d.emit(d.closedRecord(r, answer.Outcome, reason))
+func (d *Dispatcher) finish(r *request, response Answer, reason control.Reason) {
+	response.RequestID = r.ID
+	response.DeadlinePassed = d.nowMS > r.DeadlineAtMS-deadlineToleranceMS
+	d.emit(response)
+	d.emit(d.closedRecord(r, response.Outcome, reason))
 	d.close(r)
 }
 
-// answerServed answers a request with the rows of an attempt. Other attempts in
+// respondServed answers a request with the rows of an attempt. Other attempts in
 // flight are the decisions' to cancel.
-func (d *Dispatcher) answerServed(r *request, index int) {
+func (d *Dispatcher) respondServed(r *request, index int) {
 	d.emit(Answer{RequestID: r.ID, Outcome: Served, Attempt: index})
 	if index > 0 {
 		d.emit(d.closedRecord(r, Served, control.NoReason))
@@ -78,11 +78,11 @@
 	for i := range r.attempts {
 		d.cancelAttempt(r, i)
 	}
-	d.forgetIfDone(r)
+	d.removeIfDone(r)
 }
 
-// forgetIfDone removes a request that is closed and has no attempt in flight.
-func (d *Dispatcher) forgetIfDone(r *request) {
+// removeIfDone removes a request that is closed and has no attempt in flight.
+func (d *Dispatcher) removeIfDone(r *request) {
 	if r.closed && !r.attemptInFlight() {
 		delete(d.requests, r.ID)
 	}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -137,12 +137,12 @@
 	if !r.closed {
 		switch {
 		case event.Result == control.Served:
-			d.answerServed(r, event.Attempt)
+			d.respondServed(r, event.Attempt)
 		case r.detached && !r.attemptInFlight():
 			d.reject(r, 0, control.ClientDisconnected)
 		}
 	}
-	d.forgetIfDone(r)
+	d.removeIfDone(r)
 	d.consult(attemptEndedEvent(r, event, d.nowMS))
 }
 
--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -17,7 +17,7 @@
 	for len(d.pendingEvents) > 0 {
 		next := d.pendingEvents[0]
 		d.pendingEvents = d.pendingEvents[1:]
-		for _, action := range d.decisions.Handle(d.nowMS, next) {
+		for _, action := range d.gateway.Handle(d.nowMS, next) {
 			d.perform(&action)
 		}
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -13,7 +13,7 @@
 // flight. It is not safe for concurrent use.
 type Dispatcher struct {
 	settings  control.Settings
-	decisions *control.Gateway
+	gateway   *control.Gateway
 	requests  map[string]*request
 	openCount int // requests that are not closed
 	timers    timerheap.Queue[timer]
@@ -30,9 +30,9 @@
 // always give the same effects.
 func New(settings control.Settings, seed uint64) *Dispatcher {
 	return &Dispatcher{
-		settings:  settings,
-		decisions: control.New(settings, seed),
-		requests:  map[string]*request{},
+		settings: settings,
+		gateway:  control.New(settings, seed),
+		requests: map[string]*request{},
 	}
 }
 
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -58,9 +58,9 @@
 	mayHaveRun bool
 
 	// The first attempt that may have run, if any.
-	firstRan          bool
-	firstRanAttempt   int
-	firstRanStartedMS float64
+	windowStarted bool
+	windowAttempt int
+	windowStartMS float64
 }
 
 func newCheckedDispatcher(t *rapid.T) *checkedDispatcher {
@@ -104,16 +104,16 @@
 	if start.WriteByMS <= d.nowMS || start.WriteByMS > d.nowMS+WriteTimeoutMS {
 		d.t.Fatalf("at %v to be written by %v", d.nowMS, start.WriteByMS)
 	}
-	windowEndMS := r.firstRanStartedMS + testSettings.Classes[keyedClass].IdempotencyWindowMS
-	if r.Class == keyedClass && r.firstRan && start.WriteByMS >= windowEndMS {
+	windowEndMS := r.windowStartMS + testSettings.Classes[keyedClass].IdempotencyWindowMS
+	if r.Class == keyedClass && r.windowStarted && start.WriteByMS >= windowEndMS {
 		d.t.Fatalf("a repeat may be written at %v, after the window to %v", start.WriteByMS, windowEndMS)
 	}
 	r.inFlight = &start
 	r.mayHaveRun = true
-	if !r.firstRan {
-		r.firstRan = true
-		r.firstRanAttempt = start.Attempt
-		r.firstRanStartedMS = d.nowMS
+	if !r.windowStarted {
+		r.windowStarted = true
+		r.windowAttempt = start.Attempt
+		r.windowStartMS = d.nowMS
 	}
 }
 
@@ -128,8 +128,8 @@
 	r.cancelled = false
 	if result == control.Rejected || result == control.ConnectFailed {
 		r.mayHaveRun = false
-		if r.firstRanAttempt == attempt {
-			r.firstRan = false
+		if r.windowAttempt == attempt {
+			r.windowStarted = false
 		}
 	}
 	d.apply(AttemptEnded{RequestID: id, Attempt: attempt, Result: result})
@@ -180,14 +180,14 @@
 		Kind:      StatusKind(rapid.IntRange(-1, 4).Draw(d.t, "status")),
 		Value:     0.5,
 	}
-	before := d.answerCount()
+	before := d.responseCount()
 	d.apply(event)
-	if d.answerCount() != before {
+	if d.responseCount() != before {
 		d.t.Fatalf("%+v brought an answer", event)
 	}
 }
 
-func (d *checkedDispatcher) answerCount() int {
+func (d *checkedDispatcher) responseCount() int {
 	count := 0
 	for _, r := range d.requests {
 		if r.answered {
@@ -274,9 +274,9 @@
 	d.Apply(1, RequestArrived{Request{ID: "x", DeadlineAtMS: 500, WorkMS: 10}})
 	for nowMS := 2.0; nowMS <= 500; nowMS++ {
 		for _, effect := range d.Apply(nowMS, TimerFired{}) {
-			if answer, ok := effect.(Answer); ok {
-				if answer.Outcome != Failed || !answer.MayHaveRun || !answer.DeadlinePassed {
-					t.Errorf("at %v: %+v", nowMS, answer)
+			if response, ok := effect.(Answer); ok {
+				if response.Outcome != Failed || !response.MayHaveRun || !response.DeadlinePassed {
+					t.Errorf("at %v: %+v", nowMS, response)
 				}
 				return
 			}
--- a/internal/dispatch/invariants_test.go
+++ b/internal/dispatch/invariants_test.go
@@ -82,7 +82,7 @@
 
 // Closed requests get no second answer, and actions on unknown requests and
 // attempts do nothing.
-func TestActionsOnOtherRequestsAreIgnored(t *testing.T) {
+func TestActionsOnClosedAndUnknownRequestsAreIgnored(t *testing.T) {
 	d := New(testSettings, 1)
 	closed := &request{Request: Request{ID: "closed"}, closed: true, attempts: []attempt{{engine: "a", inFlight: true}}}
 	d.requests[closed.ID] = closed
--- a/internal/dispatch/load.go
+++ b/internal/dispatch/load.go
@@ -38,4 +38,4 @@
 
 // EngineCounts returns how many engines are in the endpoint list, and how many of
 // them the decisions avoid.
-func (d *Dispatcher) EngineCounts() (listed, avoided int) { return d.decisions.EngineCounts() }
+func (d *Dispatcher) EngineCounts() (listed, avoided int) { return d.gateway.EngineCounts() }
--- a/internal/simproto/compat_test.go
+++ b/internal/simproto/compat_test.go
@@ -185,7 +185,7 @@
 func TestCompatSettings(t *testing.T) {
 	golden := goldenText(t, "settings.json")
 	want := compatSettings()
-	for _, path := range unset(reflect.ValueOf(want), "settings") {
+	for _, path := range zeroFields(reflect.ValueOf(want), "settings") {
 		t.Errorf("%s is not in the golden file", path)
 	}
 	var got Settings
@@ -200,15 +200,15 @@
 	}
 }
 
-// unset names the fields at zero, also within lists.
-func unset(v reflect.Value, path string) (list []string) {
+// zeroFields names the fields at zero, also within lists.
+func zeroFields(v reflect.Value, path string) (list []string) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if goldentest.IsAdded(v, v.Type().Field(i).Name) {
 				continue
 			}
-			list = append(list, unset(v.Field(i), path+"."+v.Type().Field(i).Name)...)
+			list = append(list, zeroFields(v.Field(i), path+"."+v.Type().Field(i).Name)...)
 		}
 	case reflect.Slice:
 		if v.Len() == 0 {
@@ -216,7 +216,7 @@
 		}
 		if v.Type().Elem().Kind() == reflect.Struct {
 			for i := range v.Len() {
-				list = append(list, unset(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
+				list = append(list, zeroFields(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
 			}
 		}
 	default:
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -15,20 +15,20 @@
 // What may be wrong with a message. A value that the protocol does not have is an
 // errUnknown.
 var (
-	errUnknown          = errors.New("unknown")
-	errNoClockOrSerial  = errors.New("no clock or number")
-	errNoInstance       = errors.New("no instance named")
-	errNoRequest        = errors.New("no request named")
-	errNoEngine         = errors.New("no engine named")
-	errNoSeed           = errors.New("no seed")
-	errNoSettings       = errors.New("no settings")
-	errNoEndpointPage   = errors.New("no list numbered")
-	errNegativeClass    = errors.New("negative class or tenant")
-	errUnknownVerb      = fmt.Errorf("%w message", errUnknown)
-	errUnknownOutcome   = fmt.Errorf("%w outcome", errUnknown)
-	errUnknownStatus    = fmt.Errorf("%w topic", errUnknown)
-	errUnknownState     = fmt.Errorf("%w mode", errUnknown)
-	errUnknownEndpoints = fmt.Errorf("%w scope", errUnknown)
+	errUnknown         = errors.New("unknown")
+	errNoClockOrSerial = errors.New("no clock or number")
+	errNoInstance      = errors.New("no instance named")
+	errNoRequest       = errors.New("no request named")
+	errNoEngine        = errors.New("no engine named")
+	errNoSeed          = errors.New("no seed")
+	errNoSettings      = errors.New("no settings")
+	errNoEndpointPage  = errors.New("no list numbered")
+	errNegativeClass   = errors.New("negative class or tenant")
+	errUnknownVerb     = fmt.Errorf("%w message", errUnknown)
+	errUnknownOutcome  = fmt.Errorf("%w outcome", errUnknown)
+	errUnknownStatus   = fmt.Errorf("%w topic", errUnknown)
+	errUnknownState    = fmt.Errorf("%w mode", errUnknown)
+	errUnknownChange   = fmt.Errorf("%w scope", errUnknown)
 )
 
 // Decoder decodes the lines of a connection, in order. It keeps the connection's
@@ -69,13 +69,13 @@
 	case verbStopInstance:
 		return decodeStopInstance(wire)
 	case verbEndpoints:
-		return decodeEvent(wire, eventForm{decode: d.decodeEndpoints})
+		return decodeEvent(wire, eventDecoder{decode: d.decodeEndpoints})
 	default:
-		form, ok := eventForms[wire.Verb]
+		decoder, ok := eventDecoders[wire.Verb]
 		if !ok {
 			return nil, errUnknownVerb
 		}
-		return decodeEvent(wire, form)
+		return decodeEvent(wire, decoder)
 	}
 }
 
--- a/internal/simproto/decode_test.go
+++ b/internal/simproto/decode_test.go
@@ -136,7 +136,7 @@
 			"outcome 99", errUnknownOutcome},
 		{"unknown status", `{"t":"STATUS_NOTE","who":0,"ref":"r","topic":9}`, "topic 9", errUnknownStatus},
 		{"unknown page", `{"t":"MEMBERSHIP","who":0,"scope":"update","page":9}`, "no list", errNoEndpointPage},
-		{"unknown change", `{"t":"MEMBERSHIP","who":0,"scope":"odd"}`, "scope", errUnknownEndpoints},
+		{"unknown change", `{"t":"MEMBERSHIP","who":0,"scope":"odd"}`, "scope", errUnknownChange},
 		{"unknown state", `{"t":"CENSUS","page":1,"items":[{"engine":"h:1","mode":"odd"}]}`, "mode", errUnknownState},
 		{"no settings", `{"t":"ENLIST","who":0,"initSeed":1}`, "no settings", errNoSettings},
 		{"no seed", `{"t":"ENLIST","who":0,"env":{}}`, "no seed", errNoSeed},
--- a/internal/simproto/decodeevent.go
+++ b/internal/simproto/decodeevent.go
@@ -6,38 +6,38 @@
 	"dewhill/control"
 )
 
-// eventForm is the form of the messages of one verb that are events of an instance.
-type eventForm struct {
-	decode       func(*wireMessage) (control.Event, error)
-	namesRequest bool // a message that names none is malformed
-	namesEngine  bool // likewise
+// eventDecoder is the form of the messages of one verb that are events of an instance.
+type eventDecoder struct {
+	decode         func(*wireMessage) (control.Event, error)
+	needsRequestID bool // a message that names none is malformed
+	needsEngine    bool // likewise
 }
 
-// eventForms are the forms by verb, without that of verbEndpoints, whose decoding
+// eventDecoders are the forms by verb, without that of verbEndpoints, whose decoding
 // depends on earlier messages.
-var eventForms = map[verb]eventForm{
-	verbRequestArrived:   {decode: decodeRequestArrived, namesRequest: true},
-	verbRequestAbandoned: {decode: decodeRequestAbandoned, namesRequest: true},
-	verbAttemptStatus:    {decode: decodeAttemptStatus, namesRequest: true},
-	verbStreamOpened:     {decode: decodeStreamOpened, namesRequest: true},
-	verbAttemptEnded:     {decode: decodeAttemptEnded, namesRequest: true, namesEngine: true},
-	verbProbeEnded:       {decode: decodeProbeEnded, namesEngine: true},
+var eventDecoders = map[verb]eventDecoder{
+	verbRequestArrived:   {decode: decodeRequestArrived, needsRequestID: true},
+	verbRequestAbandoned: {decode: decodeRequestAbandoned, needsRequestID: true},
+	verbAttemptStatus:    {decode: decodeAttemptStatus, needsRequestID: true},
+	verbStreamOpened:     {decode: decodeStreamOpened, needsRequestID: true},
+	verbAttemptEnded:     {decode: decodeAttemptEnded, needsRequestID: true, needsEngine: true},
+	verbProbeEnded:       {decode: decodeProbeEnded, needsEngine: true},
 	verbGossipReceived:   {decode: decodeGossipReceived},
 	verbTimerFired:       {decode: decodeTimerFired},
 }
 
 // decodeEvent decodes an event of an instance.
-func decodeEvent(wire *wireMessage, form eventForm) (Message, error) {
+func decodeEvent(wire *wireMessage, decoder eventDecoder) (Message, error) {
 	if wire.Instance == nil {
 		return nil, errNoInstance
 	}
-	event, err := form.decode(wire)
+	event, err := decoder.decode(wire)
 	switch {
 	case err != nil:
 		return nil, err
-	case form.namesRequest && wire.RequestID == "":
+	case decoder.needsRequestID && wire.RequestID == "":
 		return nil, errNoRequest
-	case form.namesEngine && wire.Engine == "":
+	case decoder.needsEngine && wire.Engine == "":
 		return nil, errNoEngine
 	}
 	return InstanceEvent{Instance: *wire.Instance, Event: event}, nil
@@ -54,7 +54,7 @@
 	case endpointsUnavailable:
 		return control.Event{Kind: control.EndpointListFailed}, nil
 	default:
-		return control.Event{}, fmt.Errorf("%w %q", errUnknownEndpoints, wire.Change)
+		return control.Event{}, fmt.Errorf("%w %q", errUnknownChange, wire.Change)
 	}
 	engines, ok := d.pages[wire.Page]
 	if !ok {
@@ -77,7 +77,7 @@
 		MemoryMB:     wire.MemoryMB,
 		Dataset:      wire.Dataset,
 	}
-	if wire.Flags&workKnown != 0 {
+	if wire.Flags&workEstimateValid != 0 {
 		event.WorkMS = wire.WorkMS
 	}
 	return event, nil
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -13,42 +13,42 @@
 func AppendAction(line []byte, instance int, action *control.Action) []byte {
 	switch action.Kind {
 	case control.StartAttempt:
-		line = appendHead(line, verbStartAttempt, instance)
+		line = appendHeader(line, verbStartAttempt, instance)
 		line = appendString(line, keyRequestID, action.RequestID)
 		line = appendString(line, keyEngine, action.Engine)
 		line = appendNumber(line, keyDeadlineAt, action.DeadlineAtMS)
 	case control.RejectRequest:
-		line = appendHead(line, verbRejectRequest, instance)
+		line = appendHeader(line, verbRejectRequest, instance)
 		line = appendString(line, keyRequestID, action.RequestID)
 		line = appendNumber(line, keyRetryAfter, action.RetryAfterMS)
 	case control.FailRequest:
-		line = appendHead(line, verbFailRequest, instance)
+		line = appendHeader(line, verbFailRequest, instance)
 		line = appendString(line, keyRequestID, action.RequestID)
 	case control.CancelAttempt:
-		line = appendHead(line, verbCancelAttempt, instance)
+		line = appendHeader(line, verbCancelAttempt, instance)
 		line = appendString(line, keyRequestID, action.RequestID)
 		line = appendNumber(line, keyAttempt, float64(action.Attempt))
 	case control.SetTerms:
-		line = appendHead(line, verbSetTerms, instance)
+		line = appendHeader(line, verbSetTerms, instance)
 		line = appendString(line, keyRequestID, action.RequestID)
 		line = appendNumber(line, keyMemoryMB, action.MemoryMB)
 		line = appendNumber(line, keyPriority, float64(action.Priority))
 	case control.ProbeEngine:
-		line = appendHead(line, verbProbeEngine, instance)
+		line = appendHeader(line, verbProbeEngine, instance)
 		line = appendString(line, keyEngine, action.Engine)
 	case control.Broadcast:
-		line = appendHead(line, verbBroadcast, instance)
+		line = appendHeader(line, verbBroadcast, instance)
 		line = appendString(line, keyPeer, allPeers)
 		line = appendJSON(line, keyMessage, action.Message)
 	case control.SetTimer:
-		line = appendHead(line, verbSetTimer, instance)
+		line = appendHeader(line, verbSetTimer, instance)
 		line = appendNumber(line, keyDelay, action.DelayMS)
 		line = appendString(line, keyTimer, string(action.Timer))
 	case control.WatchEndpoints:
-		line = appendHead(line, verbWatchEndpoints, instance)
+		line = appendHeader(line, verbWatchEndpoints, instance)
 		line = appendJSON(line, keyEnable, true)
 	case control.WriteLog:
-		line = appendHead(line, verbWriteLog, instance)
+		line = appendHeader(line, verbWriteLog, instance)
 		line = appendString(line, keyMessage, logText(action.Log))
 	default:
 		panic(fmt.Sprintf("simproto: action of unknown kind %d", action.Kind))
@@ -58,7 +58,7 @@
 
 // AppendCrash appends the line that says that an instance's decisions have panicked.
 func AppendCrash(line []byte, instance int, text string) []byte {
-	line = appendHead(line, verbCrash, instance)
+	line = appendHeader(line, verbCrash, instance)
 	line = appendString(line, keyMessage, text)
 	return append(line, "}\n"...)
 }
@@ -84,7 +84,7 @@
 	}
 }
 
-func appendHead(line []byte, v verb, instance int) []byte {
+func appendHeader(line []byte, v verb, instance int) []byte {
 	line = appendVerb(line, v)
 	line = appendKey(line, keyInstance)
 	return strconv.AppendInt(line, int64(instance), 10)
--- a/internal/simproto/protocol.go
+++ b/internal/simproto/protocol.go
@@ -158,8 +158,8 @@
 // requestFlag is a set of bits that say which hints of a request are valid.
 type requestFlag int
 
-// workKnown is set where the estimate of a request's work is valid.
-const workKnown requestFlag = 1
+// workEstimateValid is set where the estimate of a request's work is valid.
+const workEstimateValid requestFlag = 1
 
 // attemptStatus says what the value of a status message is.
 type attemptStatus int
@@ -196,12 +196,12 @@
 type packedCost int64
 
 const (
-	memoryUnits  = 4096
-	memoryUnitMB = 4
+	memoryFieldRange = 4096
+	memoryUnitMB     = 4
 )
 
-func (c packedCost) workMS() float64   { return float64(c / memoryUnits) }
-func (c packedCost) memoryMB() float64 { return float64(c%memoryUnits) * memoryUnitMB }
+func (c packedCost) workMS() float64   { return float64(c / memoryFieldRange) }
+func (c packedCost) memoryMB() float64 { return float64(c%memoryFieldRange) * memoryUnitMB }
 
 // The texts of log entries that the simulator's recordings hold.
 const (
