--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -14,15 +14,15 @@
 		d.fail(r, reason)
 		return
 	}
-	d.finish(r, Answer{Outcome: Rejected, RetryAfterMS: retryAfterMS}, reason)
+	d.finish(r, Response{Outcome: Rejected, RetryAfterMS: retryAfterMS}, reason)
 }
 
 // fail answers a request with a failure.
 func (d *Dispatcher) fail(r *request, reason control.Reason) {
-	d.finish(r, Answer{Outcome: Failed, MayHaveRun: r.mayHaveRun()}, reason)
+	d.finish(r, Response{Outcome: Failed, MayHaveRun: r.mayHaveRun()}, reason)
 }
 
-func (d *Dispatcher) finish(r *request, response Answer, reason control.Reason) {
+func (d *Dispatcher) finish(r *request, response Response, reason control.Reason) {
 	response.RequestID = r.ID
 	response.DeadlinePassed = d.nowMS > r.DeadlineAtMS-deadlineToleranceMS
 	d.emit(response)
@@ -33,7 +33,7 @@
 // respondServed answers a request with the rows of an attempt. Other attempts in
 // flight are the decisions' to cancel.
 func (d *Dispatcher) respondServed(r *request, index int) {
-	d.emit(Answer{RequestID: r.ID, Outcome: Served, Attempt: index})
+	d.emit(Response{RequestID: r.ID, Outcome: Served, Attempt: index})
 	if index > 0 {
 		d.emit(d.closedRecord(r, Served, control.NoReason))
 	}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -78,7 +78,7 @@
 				d.t.Fatalf("cancelled what is not in flight: %+v", effect)
 			}
 			r.cancelled = true
-		case Answer:
+		case Response:
 			r := d.requests[effect.RequestID]
 			if r.answered {
 				d.t.Fatalf("a second answer: %+v", effect)
@@ -274,7 +274,7 @@
 	d.Apply(1, RequestArrived{Request{ID: "x", DeadlineAtMS: 500, WorkMS: 10}})
 	for nowMS := 2.0; nowMS <= 500; nowMS++ {
 		for _, effect := range d.Apply(nowMS, TimerFired{}) {
-			if response, ok := effect.(Answer); ok {
+			if response, ok := effect.(Response); ok {
 				if response.Outcome != Failed || !response.MayHaveRun || !response.DeadlinePassed {
 					t.Errorf("at %v: %+v", nowMS, response)
 				}
@@ -295,7 +295,7 @@
 		t.Errorf("before its deadline: %v", effects)
 	}
 	effects := d.Apply(100, TimerFired{})
-	want := Answer{RequestID: "x", Outcome: Rejected, DeadlinePassed: true}
+	want := Response{RequestID: "x", Outcome: Rejected, DeadlinePassed: true}
 	if len(effects) == 0 || effects[0] != want || d.OpenRequests() != 0 {
 		t.Errorf("at its deadline: %v", effects)
 	}
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -30,8 +30,8 @@
 	Priority  int
 }
 
-// Answer is the final answer to a request. A request gets at most one.
-type Answer struct {
+// Response is the final answer to a request. A request gets at most one.
+type Response struct {
 	RequestID      string
 	Outcome        Outcome
 	Attempt        int     // Served: the attempt whose rows are the answer
@@ -100,7 +100,7 @@
 func (StartAttempt) effect()   {}
 func (CancelAttempt) effect()  {}
 func (SetPriority) effect()    {}
-func (Answer) effect()         {}
+func (Response) effect()       {}
 func (RequestClosed) effect()  {}
 func (ProbeEngine) effect()    {}
 func (Broadcast) effect()      {}
--- a/internal/dispatch/load.go
+++ b/internal/dispatch/load.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// ClassLoad counts the open requests of a class.
-type ClassLoad struct {
+// ClassCounts counts the open requests of a class.
+type ClassCounts struct {
 	Queued   int `json:"Held"`    // no attempt is in flight
 	InFlight int `json:"Out"`     // an attempt is in flight
 	Overdue  int `json:"Overdue"` // of both, past their latency objective
@@ -11,23 +11,23 @@
 func (d *Dispatcher) OpenRequests() int { return d.openCount }
 
 // OpenByClass counts the open requests of each class, in the order of the settings.
-func (d *Dispatcher) OpenByClass() []ClassLoad {
-	loads := make([]ClassLoad, len(d.settings.Classes))
+func (d *Dispatcher) OpenByClass() []ClassCounts {
+	counts := make([]ClassCounts, len(d.settings.Classes))
 	for _, r := range d.requests {
 		if r.closed {
 			continue
 		}
-		load := &loads[r.Class]
+		count := &counts[r.Class]
 		if r.attemptInFlight() {
-			load.InFlight++
+			count.InFlight++
 		} else {
-			load.Queued++
+			count.Queued++
 		}
 		if d.nowMS > d.objectiveAtMS(r) {
-			load.Overdue++
+			count.Overdue++
 		}
 	}
-	return loads
+	return counts
 }
 
 // objectiveAtMS returns when a request's latency objective ends.
--- a/internal/httpfront/compat_test.go
+++ b/internal/httpfront/compat_test.go
@@ -20,7 +20,7 @@
 	queries map[string]dispatch.Query
 }
 
-func (loop *recordingLoop) Submit(r dispatch.Request, work any, answer func(dispatch.Answer, any)) error {
+func (loop *recordingLoop) Submit(r dispatch.Request, work any, answer func(dispatch.Response, any)) error {
 	loop.queries[r.ID] = work.(dispatch.Query)
 	return loop.fakeLoop.Submit(r, work, answer)
 }
@@ -30,7 +30,7 @@
 // newRecordingServer returns a server, its event loop, and a connection to it.
 func newRecordingServer(tenants ...string) (*recordingLoop, *Server, *connection) {
 	loop := &recordingLoop{queries: map[string]dispatch.Query{}}
-	loop.fakeLoop = fakeLoop{now: 1000, answers: map[string]func(dispatch.Answer, any){}, disconnected: map[string]bool{}}
+	loop.fakeLoop = fakeLoop{now: 1000, answers: map[string]func(dispatch.Response, any){}, disconnected: map[string]bool{}}
 	server := New(loop, Options{Classes: []ClassLimits{{Name: "lookup", MaxWorkMS: 1e6}, {Name: "change", MaxWorkMS: 1e6, RequiresIdempotencyKey: true}}, Tenants: tenants, MaxConnections: 10, RetryAfterMS: 500})
 	socket, _ := net.Pipe()
 	c := server.newConnection(socket)
@@ -159,16 +159,16 @@
 func TestCompatResponses(t *testing.T) {
 	rows := [][]byte{[]byte("a\t1\t\nb\t\"2\"\t<é>\n"), []byte("c\t3\tx\n")}
 	outcomes := map[string]struct {
-		answer dispatch.Answer
+		answer dispatch.Response
 		pages  [][]byte
 	}{
-		"served":            {dispatch.Answer{Outcome: dispatch.Served}, rows},
-		"served, no rows":   {dispatch.Answer{Outcome: dispatch.Served}, [][]byte{nil}},
-		"refused":           {dispatch.Answer{Outcome: dispatch.Rejected, RetryAfterMS: 12.3}, nil},
-		"refused, no wait":  {dispatch.Answer{Outcome: dispatch.Rejected}, nil},
-		"failed":            {dispatch.Answer{Outcome: dispatch.Failed}, nil},
-		"failed, late":      {dispatch.Answer{Outcome: dispatch.Failed, DeadlinePassed: true}, nil},
-		"polled, then rows": {dispatch.Answer{Outcome: dispatch.Served}, rows},
+		"served":            {dispatch.Response{Outcome: dispatch.Served}, rows},
+		"served, no rows":   {dispatch.Response{Outcome: dispatch.Served}, [][]byte{nil}},
+		"refused":           {dispatch.Response{Outcome: dispatch.Rejected, RetryAfterMS: 12.3}, nil},
+		"refused, no wait":  {dispatch.Response{Outcome: dispatch.Rejected}, nil},
+		"failed":            {dispatch.Response{Outcome: dispatch.Failed}, nil},
+		"failed, late":      {dispatch.Response{Outcome: dispatch.Failed, DeadlinePassed: true}, nil},
+		"polled, then rows": {dispatch.Response{Outcome: dispatch.Served}, rows},
 	}
 	request := "POST /api/v2/lookup HTTP/1.1\r\nReq-Id: 00000000000000aa\r\nReq-Wait-Ms: 500\r\nContent-Length: 1\r\n\r\nx"
 	for _, one := range goldenCases(t, "answers.txt") {
--- a/internal/httpfront/exchange.go
+++ b/internal/httpfront/exchange.go
@@ -76,7 +76,7 @@
 }
 
 // handleAnswer takes the final answer and delivers it to the message that waits.
-func (s *Server) handleAnswer(ex *exchange, answer dispatch.Answer, result any) {
+func (s *Server) handleAnswer(ex *exchange, answer dispatch.Response, result any) {
 	ex.answered = true
 	class := &s.Counters.Classes[ex.class]
 	switch answer.Outcome {
@@ -102,7 +102,7 @@
 	s.retain(ex)
 }
 
-func failure(answer dispatch.Answer) response {
+func failure(answer dispatch.Response) response {
 	if answer.DeadlinePassed {
 		return response{status: 504, body: errorBody(errorDeadline)}
 	}
--- a/internal/httpfront/protocol_test.go
+++ b/internal/httpfront/protocol_test.go
@@ -124,7 +124,7 @@
 	if len(loop.abandoned) != 0 || loop.disconnected[testID] {
 		t.Fatalf("%v abandoned, disconnected: %v", loop.abandoned, loop.disconnected)
 	}
-	served := dispatch.Answer{RequestID: testID, Outcome: dispatch.Served}
+	served := dispatch.Response{RequestID: testID, Outcome: dispatch.Served}
 	loop.answers[testID](served, [][]byte{[]byte("a\tb\tc\n")})
 	if r := <-last.responses; r.status != 200 || len(r.pages) != 1 || r.pollPath != "" {
 		t.Errorf("%+v", r)
--- a/internal/httpfront/race_test.go
+++ b/internal/httpfront/race_test.go
@@ -33,7 +33,7 @@
 }
 
 func newSteppedLoop() *steppedLoop {
-	loop := &steppedLoop{fakeLoop: fakeLoop{answers: map[string]func(dispatch.Answer, any){}, disconnected: map[string]bool{}}, posted: make(chan func(), 64)}
+	loop := &steppedLoop{fakeLoop: fakeLoop{answers: map[string]func(dispatch.Response, any){}, disconnected: map[string]bool{}}, posted: make(chan func(), 64)}
 	loop.clock.Store(1000)
 	return loop
 }
@@ -98,7 +98,7 @@
 	_, _ = io.WriteString(client, message)
 	(<-loop.posted)()
 	page := []byte(strings.Repeat("a\tb\tc\n", 20<<10))
-	loop.answers[testID](dispatch.Answer{RequestID: testID, Outcome: dispatch.Served}, [][]byte{page})
+	loop.answers[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{page})
 	_, _ = client.Read(make([]byte, 1)) // it has begun to arrive
 	for !c.writeClosed.Load() {         // all is written
 		time.Sleep(time.Millisecond)
@@ -126,7 +126,7 @@
 	idle.requestCount = 1
 	path := submitSlow(loop, server, a)
 	a.clearState(stateRequest)
-	loop.answers[testID](dispatch.Answer{RequestID: testID, Outcome: dispatch.Served}, [][]byte{[]byte("a\tb\tc\n")})
+	loop.answers[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{[]byte("a\tb\tc\n")})
 	server.StopAccepting()
 	if !isClosed(idle) || isClosed(a) || isClosed(fresh) || server.Idle() {
 		t.Fatalf("idle one closed %v, with a path %v, fresh %v, server idle %v", isClosed(idle), isClosed(a), isClosed(fresh), server.Idle())
@@ -166,7 +166,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	loop.clock.Store(9000)
-	loop.answers[testID](dispatch.Answer{RequestID: testID, Outcome: dispatch.Rejected}, nil)
+	loop.answers[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Rejected}, nil)
 	(<-loop.posted)()
 	if r := loop.taken["00000000000000bb"]; r.ArrivedAtMS != 2000 || r.DeadlineAtMS > 2000+9000 {
 		t.Errorf("arrived at %v, deadline at %v", r.ArrivedAtMS, r.DeadlineAtMS)
--- a/internal/httpfront/routes.go
+++ b/internal/httpfront/routes.go
@@ -126,7 +126,7 @@
 	s.exchanges[r.ID] = ex
 	s.awaitAnswer(c, ex, 0)
 	query := dispatch.Query{Statement: m.body, IdempotencyKey: key}
-	err = s.loop.Submit(r, query, func(answer dispatch.Answer, result any) { s.handleAnswer(ex, answer, result) })
+	err = s.loop.Submit(r, query, func(answer dispatch.Response, result any) { s.handleAnswer(ex, answer, result) })
 	if err != nil {
 		delete(s.exchanges, r.ID)
 		ex.detach()
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -43,7 +43,7 @@
 	After(delayMS float64, f func())
 	// Submit takes a request. Unless it returns an error, answer is called once,
 	// with the pages as [][]byte if the request was served.
-	Submit(r dispatch.Request, work any, answer func(dispatch.Answer, any)) error
+	Submit(r dispatch.Request, work any, answer func(dispatch.Response, any)) error
 	// AbandonRequest cancels a request whose client has disconnected.
 	AbandonRequest(id string)
 	// SetClientDisconnected notes that a request's client may have disconnected, or that
--- a/internal/httpfront/server_test.go
+++ b/internal/httpfront/server_test.go
@@ -11,7 +11,7 @@
 type fakeLoop struct {
 	now          float64
 	timers       []func()
-	answers      map[string]func(dispatch.Answer, any)
+	answers      map[string]func(dispatch.Response, any)
 	taken        map[string]dispatch.Request
 	abandoned    []string
 	disconnected map[string]bool
@@ -28,7 +28,7 @@
 	loop.disconnected[id] = disconnected
 }
 func (loop *fakeLoop) DetachRequest(id string) { loop.detached = append(loop.detached, id) }
-func (loop *fakeLoop) Submit(r dispatch.Request, w any, answer func(dispatch.Answer, any)) error {
+func (loop *fakeLoop) Submit(r dispatch.Request, w any, answer func(dispatch.Response, any)) error {
 	loop.answers[r.ID] = answer
 	if loop.taken == nil {
 		loop.taken = map[string]dispatch.Request{}
@@ -50,7 +50,7 @@
 
 // newFakeServer returns a server, its event loop, and a function that connects a client.
 func newFakeServer() (*fakeLoop, *Server, func() *connection) {
-	loop := &fakeLoop{now: 1000, answers: map[string]func(dispatch.Answer, any){}, disconnected: map[string]bool{}}
+	loop := &fakeLoop{now: 1000, answers: map[string]func(dispatch.Response, any){}, disconnected: map[string]bool{}}
 	server := New(loop, testOptions)
 	return loop, server, func() *connection {
 		socket, _ := net.Pipe()
@@ -97,7 +97,7 @@
 	}
 	b := dial()
 	get(server, b, "GET", r.pollPath)
-	loop.answers[testID](dispatch.Answer{RequestID: testID, Outcome: dispatch.Served}, [][]byte{[]byte("a\tb\tc\n")})
+	loop.answers[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{[]byte("a\tb\tc\n")})
 	for range 2 { // the second poll repeats the first
 		if got := <-b.responses; got.status != 200 || len(got.pages) != 1 || got.pollPath != "" {
 			t.Fatalf("%+v", got)
@@ -138,7 +138,7 @@
 	c := dial()
 	submit(server, c)
 	page := make([]byte, 40<<10)
-	loop.answers[testID](dispatch.Answer{RequestID: testID, Outcome: dispatch.Served}, [][]byte{page, page, page})
+	loop.answers[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{page, page, page})
 	n := 0
 	for r := <-c.responses; ; r = <-c.responses {
 		n += len(r.pages)
--- a/internal/mysql/submit.go
+++ b/internal/mysql/submit.go
@@ -64,7 +64,7 @@
 		c.load.requestID = request.ID
 	}
 	repeatable := s.class(t).Idempotency == idempotent
-	err := s.loop.Submit(request, statement, func(answer dispatch.Answer, result any) {
+	err := s.loop.Submit(request, statement, func(answer dispatch.Response, result any) {
 		done(s.finalOutcome(answer, result, repeatable))
 	})
 	if err != nil {
@@ -73,7 +73,7 @@
 }
 
 // finalOutcome words an answer for the client.
-func (s *Server) finalOutcome(answer dispatch.Answer, result any, repeatable bool) outcome {
+func (s *Server) finalOutcome(answer dispatch.Response, result any, repeatable bool) outcome {
 	switch answer.Outcome {
 	case dispatch.Served:
 		s.Counters.Served++
@@ -88,7 +88,7 @@
 	}
 }
 
-func failure(answer dispatch.Answer, repeatable bool) *Error {
+func failure(answer dispatch.Response, repeatable bool) *Error {
 	switch {
 	case answer.MayHaveRun && !repeatable:
 		return mayHaveRun()
--- a/internal/server/compat_counters_test.go
+++ b/internal/server/compat_counters_test.go
@@ -137,7 +137,7 @@
 	})
 	later := f.loop.Now() + 60000 // so that the request is in no hurry, however slow the machine is
 	open := dispatch.Request{ID: "9b1f03aa5c7e2d41", ArrivedAtMS: later, DeadlineAtMS: later + 60000}
-	if err := f.loop.Submit(open, dispatch.Query{Statement: []byte("x")}, func(dispatch.Answer, any) {}); err != nil {
+	if err := f.loop.Submit(open, dispatch.Query{Statement: []byte("x")}, func(dispatch.Response, any) {}); err != nil {
 		t.Fatal(err)
 	}
 	next := 0
--- a/internal/server/counters.go
+++ b/internal/server/counters.go
@@ -54,27 +54,27 @@
 // platformReport is what a platform front end prints on SIGUSR1 and at its end, and
 // answers to GET /-/counters. Its fields are in the order of their keys.
 type platformReport struct {
-	Classes           []dispatch.ClassLoad  `json:"classes"`
-	EngineConnections int                   `json:"engine_conns"`
-	Engines           engineclient.Counters `json:"engines"`
-	HTTPServer        httpfront.Counters    `json:"front"`
-	Goroutines        int                   `json:"goroutines"`
-	Cluster           any                   `json:"group,omitempty"`
-	HeapMB            uint64                `json:"heap_mb"`
-	FrontEnd          platformCounters      `json:"node"`
-	OpenRequests      int                   `json:"open"`
-	RequestLog        requestLogCounters    `json:"reasons"`
-	Requests          RequestCounters       `json:"requests"`
+	Classes           []dispatch.ClassCounts `json:"classes"`
+	EngineConnections int                    `json:"engine_conns"`
+	Engines           engineclient.Counters  `json:"engines"`
+	HTTPServer        httpfront.Counters     `json:"front"`
+	Goroutines        int                    `json:"goroutines"`
+	Cluster           any                    `json:"group,omitempty"`
+	HeapMB            uint64                 `json:"heap_mb"`
+	FrontEnd          platformCounters       `json:"node"`
+	OpenRequests      int                    `json:"open"`
+	RequestLog        requestLogCounters     `json:"reasons"`
+	Requests          RequestCounters        `json:"requests"`
 }
 
 // mySQLReport is what a MySQL front end prints. Its fields are in the order of
 // their keys.
 type mySQLReport struct {
-	Classes      []dispatch.ClassLoad `json:"classes"`
-	Engines      mysql.PoolCounters   `json:"engines"`
-	Server       mysql.ServerCounters `json:"front"`
-	OpenRequests int                  `json:"open"`
-	Requests     RequestCounters      `json:"requests"`
+	Classes      []dispatch.ClassCounts `json:"classes"`
+	Engines      mysql.PoolCounters     `json:"engines"`
+	Server       mysql.ServerCounters   `json:"front"`
+	OpenRequests int                    `json:"open"`
+	Requests     RequestCounters        `json:"requests"`
 }
 
 // operatorReport is what GET /control/counters answers. Its fields are in the order
--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -211,7 +211,7 @@
 		l.backend.CancelAttempt(e)
 	case dispatch.SetPriority:
 		l.backend.SetPriority(e)
-	case dispatch.Answer:
+	case dispatch.Response:
 		l.answer(e)
 	case dispatch.RequestClosed:
 		l.requestLog.requestClosed(l.Now(), e)
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -16,7 +16,7 @@
 	class      int
 	deadlineMS float64
 	work       any // for the engine backend
-	respond    func(dispatch.Answer, any)
+	respond    func(dispatch.Response, any)
 	result     any // of the attempt that was served, for respond
 }
 
@@ -25,7 +25,7 @@
 
 // Submit accepts a request. Its response comes once, in the loop. A request whose
 // id was accepted lately is refused with an error.
-func (l *EventLoop) Submit(r dispatch.Request, work any, respond func(dispatch.Answer, any)) error {
+func (l *EventLoop) Submit(r dispatch.Request, work any, respond func(dispatch.Response, any)) error {
 	if l.requests[r.ID] != nil || l.recentIDs.contains(r.ID) {
 		return errDuplicateID
 	}
@@ -47,7 +47,7 @@
 }
 
 // answer responds to a request and forgets it.
-func (l *EventLoop) answer(a dispatch.Answer) {
+func (l *EventLoop) answer(a dispatch.Response) {
 	r := l.requests[a.RequestID]
 	if r == nil {
 		return
