--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -2,13 +2,13 @@
 
 import "dewhill/control"
 
-// deadlineToleranceMS is how long before a request's deadline an answer counts as
-// caused by the deadline: the decisions end a request that is out of time at one of
-// their last sweeps before it.
+// deadlineToleranceMS is how long before a request's deadline a rejection or failure is
+// already attributed to the deadline: the decision logic ends an overdue request in one
+// of its last sweeps before the deadline.
 const deadlineToleranceMS = 60
 
-// reject answers a request with a rejection. Where an attempt may have run, the
-// answer is a failure: after a rejection the client may safely try again.
+// reject answers a request with a rejection. If an attempt may have run, the response
+// is a failure instead: after a rejection the client may safely retry.
 func (d *Dispatcher) reject(r *request, retryAfterMS float64, reason control.Reason) {
 	if r.mayHaveRun() {
 		d.fail(r, reason)
@@ -17,11 +17,13 @@
 	d.finish(r, Response{Outcome: Rejected, RetryAfterMS: retryAfterMS}, reason)
 }
 
-// fail answers a request with a failure.
+// fail answers a request with a failure, which says whether an attempt may have run.
 func (d *Dispatcher) fail(r *request, reason control.Reason) {
 	d.finish(r, Response{Outcome: Failed, MayHaveRun: r.mayHaveRun()}, reason)
 }
 
+// finish sends the final response to a request that was not served, and closes the
+// request.
 func (d *Dispatcher) finish(r *request, response Response, reason control.Reason) {
 	response.RequestID = r.ID
 	response.DeadlinePassed = d.nowMS > r.DeadlineAtMS-deadlineToleranceMS
@@ -30,8 +32,8 @@
 	d.close(r)
 }
 
-// respondServed answers a request with the rows of an attempt. Other attempts in
-// flight are the decisions' to cancel.
+// respondServed answers a request with the rows of an attempt. It does not cancel the
+// other attempts in flight: the decision logic does.
 func (d *Dispatcher) respondServed(r *request, index int) {
 	d.emit(Response{RequestID: r.ID, Outcome: Served, Attempt: index})
 	if index > 0 {
@@ -41,7 +43,7 @@
 	d.openCount--
 }
 
-// closedRecord describes how a request came to its end.
+// closedRecord describes how a request ended, for logs and counters.
 func (d *Dispatcher) closedRecord(r *request, outcome Outcome, reason control.Reason) RequestClosed {
 	record := RequestClosed{
 		RequestID: r.ID,
@@ -71,7 +73,8 @@
 	}
 }
 
-// close closes a request and cancels its attempts, for which nobody waits.
+// close closes a request and cancels its attempts in flight, whose results are no
+// longer needed.
 func (d *Dispatcher) close(r *request) {
 	r.closed = true
 	d.openCount--
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -2,23 +2,24 @@
 
 import "dewhill/control"
 
-// Between the decision to start an attempt and its last byte at the engine lie a
-// connection that may be slow to come up and a writer that may stall. What was
-// decided on must still hold by then: the client waits, the engines recognize the
-// key, the retry budget has capacity. Engines that begin to drain meanwhile are the
-// concern of the engine's side.
+// An attempt is written to its engine some time after the decision to start it: the
+// connection may be slow to open, and the writer may stall. When the last byte is
+// written, the conditions of the decision must still hold: the client is waiting, the
+// engines recognize the idempotency key, and the retry budget has capacity. The engine
+// client handles engines that start to drain in the meantime.
 const (
-	// WriteTimeoutMS is how long after its start an attempt may still be written, where
-	// the settings allow no longer SendDelayAllowanceMS.
+	// WriteTimeoutMS is how long after its start an attempt may still be written,
+	// unless the settings allow longer (SendDelayAllowanceMS).
 	WriteTimeoutMS = 350.0
 
 	// networkDelayMS is how long before the end of an idempotency window a repeat must
-	// be written to reach its engine within it.
+	// be written so that it reaches its engine within the window.
 	networkDelayMS = 30.0
 )
 
-// startAttempt starts the attempt that the decisions ask for, or ends it at once as
-// not sent where it would break an invariant of the package.
+// startAttempt starts the attempt that the decision logic asks for. An attempt that
+// would break an invariant of the package is not sent and ends at once with the result
+// NotSent.
 func (d *Dispatcher) startAttempt(r *request, action *control.Action) {
 	deadlineAtMS := r.DeadlineAtMS
 	if action.DeadlineAtMS > 0 {
@@ -50,8 +51,8 @@
 	})
 }
 
-// mayStartAttempt reports whether the next attempt of a request keeps the
-// invariants, apart from those of time.
+// mayStartAttempt reports whether the next attempt of a request keeps the invariants,
+// except those about time, which startAttempt checks.
 func (d *Dispatcher) mayStartAttempt(r *request) bool {
 	if r.closed || r.detached {
 		return false
@@ -62,9 +63,10 @@
 	return d.settings.Classes[r.Class].Idempotency != control.NotIdempotent || !r.mayHaveRun()
 }
 
-// writeByMS returns when the next attempt must have been written completely. It
-// bounds how far attempts crowd into one window of the retry budget, and keeps a
-// repeat from its engine once the engine may have forgotten the key.
+// writeByMS returns the time by which the next attempt must have been written
+// completely. The limit bounds how many delayed attempts can fall into one window of
+// the retry budget, and prevents a repeat from reaching its engine after the engine may
+// have dropped the idempotency key.
 func (d *Dispatcher) writeByMS(r *request) float64 {
 	byMS := d.nowMS + max(WriteTimeoutMS, d.settings.SendDelayAllowanceMS)
 	class := &d.settings.Classes[r.Class]
@@ -79,7 +81,7 @@
 	return byMS
 }
 
-// cancelAttempt cancels an attempt, unless it has ended or was cancelled before.
+// cancelAttempt cancels an attempt that is in flight and was not cancelled before.
 func (d *Dispatcher) cancelAttempt(r *request, index int) {
 	a := &r.attempts[index]
 	if !a.inFlight || a.cancelled {
@@ -89,7 +91,7 @@
 	d.emit(CancelAttempt{RequestID: r.ID, Attempt: index, Engine: a.engine})
 }
 
-// setPriority sets the priority of a request's attempts, those in flight included.
+// setPriority sets the priority of a request's attempts, including those in flight.
 func (d *Dispatcher) setPriority(r *request, priority int) {
 	r.priority = priority
 	for i := range r.attempts {
@@ -99,8 +101,8 @@
 	}
 }
 
-// attemptStatus passes on what an engine reported of an attempt that is in flight
-// and was not cancelled.
+// attemptStatus passes an engine's status report to the decision logic. It ignores
+// reports on attempts that have ended or were cancelled.
 func (d *Dispatcher) attemptStatus(event AttemptStatus) {
 	r := d.openRequest(event.RequestID)
 	if r == nil || !r.hasAttempt(event.Attempt) {
@@ -115,6 +117,8 @@
 	}
 }
 
+// attemptEnded handles the end of an attempt. An attempt that was cancelled because its
+// deadline or the request's had passed is recorded as timed out.
 func (d *Dispatcher) attemptEnded(event AttemptEnded) {
 	r := d.requests[event.RequestID]
 	if r == nil || !r.hasAttempt(event.Attempt) || !r.attempts[event.Attempt].inFlight {
@@ -126,8 +130,9 @@
 	d.endAttempt(r, event)
 }
 
-// endAttempt records the result of an attempt in flight. If it was served, it gives
-// the answer; if it was the last one of a detached request, it closes the request.
+// endAttempt records the result of an attempt in flight. If the attempt was served, its
+// rows are the response; if it was the last attempt of a detached request, the request
+// is answered with a rejection or a failure.
 func (d *Dispatcher) endAttempt(r *request, event AttemptEnded) {
 	a := &r.attempts[event.Attempt]
 	a.inFlight = false
@@ -146,7 +151,7 @@
 	d.consult(attemptEndedEvent(r, event, d.nowMS))
 }
 
-// provesNeverRan reports whether an attempt with this result never ran.
+// provesNeverRan reports whether an attempt with this result certainly did not run.
 func provesNeverRan(result control.Result) bool {
 	switch result {
 	case control.Rejected, control.ConnectFailed, control.NotSent:
--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -6,8 +6,9 @@
 	"dewhill/control"
 )
 
-// consult gives an event to the decisions and performs the actions that they ask
-// for. Events that follow from these are handled after it, never in the middle.
+// consult gives an event to the decision logic and performs the actions that it
+// returns. Events that these actions cause are queued and handled afterwards, never
+// recursively.
 func (d *Dispatcher) consult(event control.Event) {
 	d.pendingEvents = append(d.pendingEvents, event)
 	if d.consulting {
@@ -25,8 +26,8 @@
 	d.consulting = false
 }
 
-// perform performs an action of the decisions. Actions on requests that are
-// forgotten, and answers to those that are closed, are ignored.
+// perform performs an action of the decision logic. It ignores actions on requests that
+// have been removed, and rejections and failures of requests that are closed.
 func (d *Dispatcher) perform(action *control.Action) {
 	switch action.Kind {
 	case control.StartAttempt:
@@ -79,8 +80,8 @@
 	}
 }
 
-// requestAbandonedEvent says that nobody waits for a request: its client has left,
-// or it was answered without the decisions.
+// requestAbandonedEvent notifies the decision logic that no response to a request is
+// awaited: the client has abandoned it, or the dispatcher has answered it on its own.
 func requestAbandonedEvent(r *request) control.Event {
 	return control.Event{Kind: control.RequestAbandoned, RequestID: r.ID}
 }
@@ -101,7 +102,8 @@
 	}
 }
 
-// attemptStatusEvent returns false for a status of unknown kind.
+// attemptStatusEvent translates a status report. It returns false if the report's kind
+// is unknown.
 func attemptStatusEvent(event AttemptStatus, engine string) (control.Event, bool) {
 	status := control.Event{RequestID: event.RequestID, Attempt: event.Attempt, Engine: engine}
 	switch event.Kind {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -9,25 +9,25 @@
 	"dewhill/internal/timerheap"
 )
 
-// Dispatcher is the state of all requests that are open or have an attempt in
-// flight. It is not safe for concurrent use.
+// Dispatcher holds the requests that are open or have an attempt in flight, and applies
+// events to them. It is not safe for concurrent use.
 type Dispatcher struct {
 	settings  control.Settings
 	gateway   *control.Gateway
 	requests  map[string]*request
-	openCount int // requests that are not closed
+	openCount int // number of requests that are not closed
 	timers    timerheap.Queue[timer]
 	nowMS     float64
-	effects   []Effect // of the event that is being applied
+	effects   []Effect // of the event being applied
 
-	// pendingEvents are for the decisions, in order; consulting is set while they are
-	// being handled.
+	// pendingEvents are the events that the decision logic has yet to handle, in order;
+	// consulting is true while it handles them.
 	pendingEvents []control.Event
 	consulting    bool
 }
 
-// New returns a Dispatcher without requests or engines. The same seed and events
-// always give the same effects.
+// New returns a Dispatcher without requests or engines. The same settings, seed and
+// events always give the same effects.
 func New(settings control.Settings, seed uint64) *Dispatcher {
 	return &Dispatcher{
 		settings: settings,
@@ -36,8 +36,9 @@
 	}
 }
 
-// Apply applies an event and returns what to do, in order. The effects are valid
-// until the next call. A time before that of the last call counts as that time.
+// Apply applies an event and returns the effects to carry out, in order. The effects
+// are valid until the next call. Time never goes backwards: a nowMS before that of an
+// earlier call is replaced by the latest time seen.
 func (d *Dispatcher) Apply(nowMS float64, event Event) []Effect {
 	d.nowMS = max(nowMS, d.nowMS)
 	d.effects = d.effects[:0]
@@ -76,7 +77,8 @@
 
 func (d *Dispatcher) emit(effect Effect) { d.effects = append(d.effects, effect) }
 
-// openRequest returns a request that is not closed, or nil.
+// openRequest returns the request with this ID, or nil if it is closed or does not
+// exist.
 func (d *Dispatcher) openRequest(id string) *request {
 	if r := d.requests[id]; r != nil && !r.closed {
 		return r
@@ -124,7 +126,8 @@
 	d.consult(control.Event{Kind: control.ClientPresenceChanged, RequestID: r.ID, ClientDisconnected: event.Disconnected})
 }
 
-// rejectAllOpen answers every open request, in the order of arrival.
+// rejectAllOpen rejects every open request, in order of arrival. A request with an
+// attempt that may have run fails instead.
 func (d *Dispatcher) rejectAllOpen() {
 	open := make([]*request, 0, d.openCount)
 	for _, r := range d.requests {
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -38,7 +38,8 @@
 	},
 }
 
-// checkedDispatcher applies events and checks that the effects keep the invariants.
+// checkedDispatcher applies events to a Dispatcher and checks that the effects keep the
+// invariants of the package.
 type checkedDispatcher struct {
 	t          *rapid.T
 	dispatcher *Dispatcher
@@ -46,18 +47,18 @@
 	requests   map[string]*checkedRequest
 }
 
-// checkedRequest is what must be known of a request to check its effects.
+// checkedRequest is the state of a request that the checks need.
 type checkedRequest struct {
 	Request
 	answered  bool
 	abandoned bool
 	detached  bool
 
-	inFlight   *StartAttempt // nil: none
-	cancelled  bool          // the attempt in flight is
+	inFlight   *StartAttempt // nil if no attempt is in flight
+	cancelled  bool          // whether the attempt in flight was cancelled
 	mayHaveRun bool
 
-	// The first attempt that may have run, if any.
+	// The idempotency window starts with the first attempt that may have run.
 	windowStarted bool
 	windowAttempt int
 	windowStartMS float64
@@ -75,16 +76,16 @@
 		case CancelAttempt:
 			r := d.requests[effect.RequestID]
 			if r.inFlight == nil || r.inFlight.Attempt != effect.Attempt || r.cancelled {
-				d.t.Fatalf("cancelled what is not in flight: %+v", effect)
+				d.t.Fatalf("cancelled an attempt that is not in flight: %+v", effect)
 			}
 			r.cancelled = true
 		case Response:
 			r := d.requests[effect.RequestID]
 			if r.answered {
-				d.t.Fatalf("a second answer: %+v", effect)
+				d.t.Fatalf("second response to a request: %+v", effect)
 			}
 			if effect.Outcome == Rejected && r.mayHaveRun {
-				d.t.Fatalf("rejected though it may have run: %+v", effect)
+				d.t.Fatalf("request rejected although an attempt may have run: %+v", effect)
 			}
 			r.answered = true
 		}
@@ -93,20 +94,22 @@
 
 func (d *checkedDispatcher) checkStart(r *checkedRequest, start StartAttempt) {
 	if r.answered || r.inFlight != nil || start.DeadlineAtMS > r.DeadlineAtMS || d.nowMS >= r.DeadlineAtMS {
-		d.t.Fatalf("%+v at %v: answered %v, in flight %+v", start, d.nowMS, r.answered, r.inFlight)
+		d.t.Fatalf("started %+v at %v: request answered %v, attempt in flight %+v",
+			start, d.nowMS, r.answered, r.inFlight)
 	}
 	if r.Class == notIdempotentClass && r.mayHaveRun {
-		d.t.Fatalf("a load that may have run starts again: %+v", start)
+		d.t.Fatalf("load started again although it may have run: %+v", start)
 	}
 	if r.detached {
-		d.t.Fatalf("starts though its client is detached: %+v", start)
+		d.t.Fatalf("attempt started although the client has detached: %+v", start)
 	}
 	if start.WriteByMS <= d.nowMS || start.WriteByMS > d.nowMS+WriteTimeoutMS {
-		d.t.Fatalf("at %v to be written by %v", d.nowMS, start.WriteByMS)
+		d.t.Fatalf("attempt started at %v has to be written by %v", d.nowMS, start.WriteByMS)
 	}
 	windowEndMS := r.windowStartMS + testSettings.Classes[keyedClass].IdempotencyWindowMS
 	if r.Class == keyedClass && r.windowStarted && start.WriteByMS >= windowEndMS {
-		d.t.Fatalf("a repeat may be written at %v, after the window to %v", start.WriteByMS, windowEndMS)
+		d.t.Fatalf("repeat may be written as late as %v; the idempotency window ends at %v",
+			start.WriteByMS, windowEndMS)
 	}
 	r.inFlight = &start
 	r.mayHaveRun = true
@@ -117,7 +120,7 @@
 	}
 }
 
-// endAttempt ends the attempt of a request, if one is in flight.
+// endAttempt ends the attempt in flight of a request, if there is one.
 func (d *checkedDispatcher) endAttempt(id string, result control.Result) {
 	r := d.requests[id]
 	if r == nil || r.inFlight == nil {
@@ -135,7 +138,7 @@
 	d.apply(AttemptEnded{RequestID: id, Attempt: attempt, Result: result})
 }
 
-// advance moves the clock and fires the timers that are due.
+// advance advances the clock and fires the timers that are due.
 func (d *checkedDispatcher) advance(ms float64) {
 	d.nowMS += ms
 	for d.dispatcher.NextTimerMS() <= d.nowMS {
@@ -171,8 +174,8 @@
 	d.apply(RequestDetached{id})
 }
 
-// reportStatus applies what an engine reports of an attempt; the attempt may not
-// exist, and the kind may be unknown. It must answer nothing.
+// reportStatus applies an engine's status report. The attempt may not exist and the
+// kind may be unknown. A status report must not cause a response.
 func (d *checkedDispatcher) reportStatus(id string) {
 	event := AttemptStatus{
 		RequestID: id,
@@ -183,7 +186,7 @@
 	before := d.responseCount()
 	d.apply(event)
 	if d.responseCount() != before {
-		d.t.Fatalf("%+v brought an answer", event)
+		d.t.Fatalf("%+v caused a response", event)
 	}
 }
 
@@ -200,7 +203,7 @@
 func (d *checkedDispatcher) reachShutdownDeadline() {
 	d.apply(ShutdownDeadline{})
 	if open := d.dispatcher.OpenRequests(); open != 0 {
-		d.t.Fatalf("%d requests are open after the shutdown", open)
+		d.t.Fatalf("%d requests are open after the shutdown deadline", open)
 	}
 }
 
@@ -211,7 +214,7 @@
 	}}})
 }
 
-// drain lets time pass until all deadlines have, and ends cancelled attempts.
+// drain advances the clock past all deadlines and ends the cancelled attempts.
 func (d *checkedDispatcher) drain() {
 	for range 200 {
 		d.advance(25)
@@ -224,7 +227,7 @@
 	}
 }
 
-// Whatever happens in whatever order, the invariants of the package hold.
+// The invariants of the package hold for any sequence of events.
 func TestInvariants(t *testing.T) {
 	results := []control.Result{
 		control.Served, control.Errored, control.Rejected, control.ConnectFailed, control.Reset, control.Cancelled,
@@ -257,17 +260,18 @@
 		d.drain()
 		for id, r := range d.requests {
 			if !r.answered && !r.abandoned {
-				t.Fatalf("request %s has no answer at %v: %+v", id, d.nowMS, r)
+				t.Fatalf("request %s has no response at %v: %+v", id, d.nowMS, r)
 			}
 		}
 		if open := d.dispatcher.OpenRequests(); open != 0 {
-			t.Fatalf("%d requests are open", open)
+			t.Fatalf("%d requests are still open at the end", open)
 		}
 	})
 }
 
-// A request whose attempt is silent is answered by its deadline and its attempt
-// cancelled; a rejection that the decisions ask for becomes a failure.
+// A request whose engine does not answer its attempt gets a response by its deadline,
+// and the attempt is cancelled. Since the attempt may have run, the response is a
+// failure even if the decision logic asks for a rejection.
 func TestDeadline(t *testing.T) {
 	d := New(testSettings, 1)
 	d.Apply(0, EndpointsChanged{Snapshot: true, Engines: []control.EngineInfo{{ID: "a"}}})
@@ -282,13 +286,15 @@
 			}
 		}
 	}
-	t.Error("no answer by the deadline")
+	t.Error("no response by the deadline")
 }
 
-// A request that the decisions let pass its deadline is answered then.
+// A request that the decision logic does not answer in time is answered at its
+// deadline.
 func TestDeadlineWithoutDecision(t *testing.T) {
 	d := New(testSettings, 1)
-	d.requests["x"] = &request{Request: Request{ID: "x", DeadlineAtMS: 100}} // unknown to the decisions
+	// The decision logic has not received this request.
+	d.requests["x"] = &request{Request: Request{ID: "x", DeadlineAtMS: 100}}
 	d.openCount = 1
 	d.timers.Add(100, timer{kind: requestDeadline, requestID: "x"})
 	if effects := d.Apply(99, TimerFired{}); len(effects) != 0 {
@@ -301,7 +307,7 @@
 	}
 }
 
-// Logs have these texts.
+// Operators' tools match these texts in the log.
 func TestOutcomeText(t *testing.T) {
 	for outcome, want := range map[Outcome]string{
 		Served: "served", Rejected: "refused", Failed: "failed", Outcome(-1): "unknown outcome",
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,26 +1,27 @@
-// Package dispatch runs the life cycle of requests. It is a reducer: every change
-// of state is an Event given to Dispatcher.Apply, which consults the decisions of
-// package control and returns, in order, the Effects to carry out. It deals in
-// requests, attempts and outcomes, does no I/O and has no clock: the same settings,
-// seed and events always give the same effects.
+// Package dispatch runs the life cycle of requests. It is a reducer: every change of
+// state is an Event given to Dispatcher.Apply, which consults the decision logic of
+// package control and returns the Effects to carry out, in order. It deals only with
+// requests, attempts and outcomes, does no I/O and has no clock: the same settings, seed
+// and events always give the same effects.
 //
-// Whatever the decisions ask for, these invariants hold:
+// The package keeps these invariants, whatever action the decision logic asks for:
 //
-//   - A request gets one final answer, by its deadline, unless its client has
-//     abandoned it; then it gets none.
-//   - A request has one attempt in flight, unless the settings allow hedging.
+//   - A request gets one final response, by its deadline. A request that its client
+//     has abandoned gets none.
+//   - A request has at most one attempt in flight, unless the settings allow hedging.
 //   - A request is rejected only if none of its attempts can have run, so that the
-//     client may safely try again. In any other case it fails.
-//   - A request that is not idempotent is not retried once an attempt may have run.
-//     One that is idempotent by its key gets no retry that might reach an engine
+//     client may safely retry. Otherwise it fails.
+//   - A request that is not idempotent is not retried once an attempt may have run. A
+//     request that is idempotent by its key gets no retry that might reach an engine
 //     after the window in which engines recognize the key.
-//   - No attempt starts after the answer, the deadline, or the detachment of the client.
+//   - No attempt starts after the response, after the deadline, or after the client
+//     has detached.
 //
 // All times are in milliseconds on the caller's clock, memory in megabytes, work in
 // milliseconds of one core.
 //
-// events.go and effects.go are the interface. dispatcher.go applies events,
-// request.go is the state of requests, attempt.go starts and ends their attempts,
-// answer.go ends requests, timers.go has what is due when, and decisions.go
-// translates to and from package control. load.go counts open requests.
+// events.go and effects.go are the interface. dispatcher.go applies events, request.go
+// has the state of requests, attempt.go starts and ends their attempts, answer.go ends
+// requests, timers.go schedules deadlines and the timers of the decision logic, and
+// decisions.go translates to and from package control. load.go counts open requests.
 package dispatch
--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -2,33 +2,33 @@
 
 import "dewhill/control"
 
-// Event is something that happened: one of the types of this file.
+// Event is something that happened, as given to Apply: one of the types of this file.
 type Event interface{ event() }
 
-// RequestArrived says that a front has accepted a request. A request whose ID is in
-// use, or whose class does not exist, is ignored: the fronts check both.
+// RequestArrived reports that a front end has accepted a request. A request whose ID is
+// in use, or whose class does not exist, is ignored: the front ends check both.
 type RequestArrived struct{ Request }
 
-// AttemptEnded says how an attempt ended. It is owed once for each StartAttempt,
-// also after a CancelAttempt; a second one is ignored.
+// AttemptEnded reports how an attempt ended. The caller applies it once for each
+// StartAttempt, even after a CancelAttempt; a second AttemptEnded is ignored.
 type AttemptEnded struct {
 	RequestID string
-	Attempt   int // index, as in StartAttempt
+	Attempt   int // index of the attempt, as in StartAttempt
 	// Result is Served only when all rows have arrived, so that an idempotent request
 	// whose rows were cut short can still be retried.
 	Result     control.Result
-	WorkMS     float64             // what the attempt cost its engine; 0: not reported
-	MemoryMB   float64             // likewise
-	LoadReport *control.LoadReport // of the engine; nil: none came
+	WorkMS     float64             // work that the attempt cost its engine; 0: not reported
+	MemoryMB   float64             // memory that the attempt used; 0: not reported
+	LoadReport *control.LoadReport // from the engine; nil: none received
 }
 
-// AttemptStatus says what an engine reported of an attempt in flight. It ends
-// nothing, and is ignored once the attempt has ended or was cancelled.
+// AttemptStatus is an engine's report on an attempt in flight. It does not end the
+// attempt, and is ignored once the attempt has ended or was cancelled.
 type AttemptStatus struct {
 	RequestID string
 	Attempt   int
 	Kind      StatusKind
-	Value     float64 // its meaning and unit follow from Kind
+	Value     float64 // meaning and unit depend on Kind
 }
 
 // StatusKind is the kind of an AttemptStatus.
@@ -36,63 +36,65 @@
 
 // The kinds of status reports.
 const (
-	AttemptAlive         StatusKind = iota // the engine works on it; Level is not used
-	AttemptProgress                        // Level is the part of the work that is done, from 0 to 1
-	AttemptShortOfMemory                   // Level is the memory that is missing, in megabytes
-	AttemptBlocked                         // Level is a control.BlockedOn
+	AttemptAlive         StatusKind = iota // the engine works on the attempt; Value is not used
+	AttemptProgress                        // Value is the fraction of the work that is done, from 0 to 1
+	AttemptShortOfMemory                   // Value is the memory that the attempt lacks, in megabytes
+	AttemptBlocked                         // Value is a control.BlockedOn
 )
 
-// RequestAbandoned says that the client has stopped waiting. The request gets no
-// answer; its attempts are cancelled.
+// RequestAbandoned reports that the client no longer waits for the response. The
+// request gets none, and its attempts are cancelled.
 type RequestAbandoned struct{ RequestID string }
 
-// RequestDetached says that the client has stopped waiting for a request whose
-// outcome must be known all the same. Attempts in flight go on, none starts, and
-// the request is answered when they have ended.
+// RequestDetached reports that the client no longer waits, but that the outcome of the
+// request must still become known. Attempts in flight continue, no further attempt
+// starts, and the request is answered when the last of them has ended.
 type RequestDetached struct{ RequestID string }
 
-// ClientPresenceChanged says that a request's client may have disconnected, or that
-// it is back after all. While it is away no attempt starts.
+// ClientPresenceChanged reports that a request's client may have disconnected, or that
+// the client has turned out to be connected. No attempt starts while the client may
+// have disconnected.
 type ClientPresenceChanged struct {
 	RequestID    string
 	Disconnected bool
 }
 
-// ShutdownDeadline says that the process is about to exit. Every open request is
-// answered now, in the order of arrival.
+// ShutdownDeadline reports that the process is about to exit. Every open request is
+// answered at once, in order of arrival.
 type ShutdownDeadline struct{}
 
-// EndpointsChanged is a watch event of the endpoint list.
+// EndpointsChanged reports a change of the endpoint list.
 type EndpointsChanged struct {
-	Snapshot bool                 // Engines is the complete list; else the entries that changed
-	Engines  []control.EngineInfo // may be kept, and must not be changed any more
+	Snapshot bool                 // Engines is the complete list; otherwise only the entries that changed
+	Engines  []control.EngineInfo // the Dispatcher may keep the slice: the caller must not change it
 }
 
-// ProbeEnded says how a health check ended. It is owed once for each ProbeEngine.
+// ProbeEnded reports how a health check ended. The caller applies it once for each
+// ProbeEngine.
 type ProbeEnded struct {
 	Engine     string
 	Result     control.Result
 	ElapsedMS  float64
-	LoadReport *control.LoadReport // nil: none came
+	LoadReport *control.LoadReport // nil: none received
 }
 
 // GossipReceived is a message that a peer has broadcast.
 type GossipReceived struct {
-	Peer    int // index of its gateway
+	Peer    int // the peer's index among the gateways
 	Message []byte
 }
 
-// OverrideChanged says that an operator disables an engine, or enables it again.
+// OverrideChanged reports that an operator has disabled an engine or enabled it again.
 type OverrideChanged struct {
 	Engine   string
 	Disabled bool
 }
 
-// FleetResized says how many gateways count for quotas of work.
+// FleetResized reports how many alive gateways share the quotas of work.
 type FleetResized struct{ AliveGateways int }
 
-// TimerFired says that the time of NextTimerMS has come. It is harmless at any
-// other time.
+// TimerFired reports that the time given by NextTimerMS has come. At any other time it
+// does nothing.
 type TimerFired struct{}
 
 func (RequestArrived) event()        {}
--- a/internal/dispatch/invariants_test.go
+++ b/internal/dispatch/invariants_test.go
@@ -19,7 +19,7 @@
 var startCases = []struct {
 	name         string
 	request      request
-	deadlineAtMS float64 // of the attempt; 0: the request's
+	deadlineAtMS float64 // of the attempt; 0: the deadline of the request
 	wantStart    bool
 }{
 	{"first attempt", request{}, 0, true},
@@ -47,8 +47,8 @@
 	},
 }
 
-// Attempts that the decisions ask for against an invariant are not started: each
-// ends at once as not sent.
+// An attempt that the decision logic asks for, but that would break an invariant, is
+// not started: it ends at once with the result NotSent.
 func TestForbiddenAttemptsAreNotStarted(t *testing.T) {
 	for _, c := range startCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -74,14 +74,14 @@
 				t.Errorf("started: %v, want %v; effects %+v", started, c.wantStart, d.effects)
 			}
 			if a := r.attempts[index]; !c.wantStart && (a.inFlight || !a.neverRan || a.result != control.NotSent) {
-				t.Errorf("the attempt is %+v, want it not sent", a)
+				t.Errorf("the attempt is %+v, want one that ended as NotSent", a)
 			}
 		})
 	}
 }
 
-// Closed requests get no second answer, and actions on unknown requests and
-// attempts do nothing.
+// A closed request gets no second response, and actions on unknown requests and
+// attempts have no effect.
 func TestActionsOnClosedAndUnknownRequestsAreIgnored(t *testing.T) {
 	d := New(testSettings, 1)
 	closed := &request{Request: Request{ID: "closed"}, closed: true, attempts: []attempt{{engine: "a", inFlight: true}}}
--- a/internal/dispatch/load.go
+++ b/internal/dispatch/load.go
@@ -1,13 +1,13 @@
 package dispatch
 
-// ClassCounts counts the open requests of a class.
+// ClassCounts are the numbers of open requests of a class.
 type ClassCounts struct {
-	Queued   int `json:"Held"`    // no attempt is in flight
-	InFlight int `json:"Out"`     // an attempt is in flight
-	Overdue  int `json:"Overdue"` // of both, past their latency objective
+	Queued   int `json:"Held"`    // open requests without an attempt in flight
+	InFlight int `json:"Out"`     // open requests with an attempt in flight
+	Overdue  int `json:"Overdue"` // open requests past their latency objective; also in Queued or InFlight
 }
 
-// OpenRequests returns how many requests owe an answer.
+// OpenRequests returns the number of requests that are not closed.
 func (d *Dispatcher) OpenRequests() int { return d.openCount }
 
 // OpenByClass counts the open requests of each class, in the order of the settings.
@@ -30,12 +30,13 @@
 	return counts
 }
 
-// objectiveAtMS returns when a request's latency objective ends.
+// objectiveAtMS returns the time by which a request should be answered to meet its
+// latency objective.
 func (d *Dispatcher) objectiveAtMS(r *request) float64 {
 	class := &d.settings.Classes[r.Class]
 	return r.ArrivedAtMS + class.LatencyObjectiveMS + class.ObjectiveSlope*r.WorkMS/float64(max(1, class.Threads))
 }
 
-// EngineCounts returns how many engines are in the endpoint list, and how many of
-// them the decisions avoid.
+// EngineCounts returns how many engines the endpoint list has, and how many of them the
+// decision logic avoids.
 func (d *Dispatcher) EngineCounts() (listed, avoided int) { return d.gateway.EngineCounts() }
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -6,23 +6,25 @@
 type timerKind int
 
 const (
-	decisionTimer   timerKind = iota // the decisions asked for it
-	attemptDeadline                  // the time of one attempt ends
+	decisionTimer   timerKind = iota // set by the decision logic
+	attemptDeadline                  // the deadline of one attempt
 	requestDeadline                  // the client stops waiting
 )
 
-// timer is something that is due at a time.
+// timer identifies what is due when a timer fires.
 type timer struct {
 	kind      timerKind
-	name      control.TimerName // of a decisionTimer
-	requestID string            // of the others
-	attempt   int               // of an attemptDeadline: the attempt's index
+	name      control.TimerName // decisionTimer only
+	requestID string            // attemptDeadline and requestDeadline only
+	attempt   int               // attemptDeadline only: index of the attempt
 }
 
-// NextTimerMS returns when TimerFired is due next, infinity if never.
+// NextTimerMS returns when the caller must apply the next TimerFired; infinity if no
+// timer is set.
 func (d *Dispatcher) NextTimerMS() float64 { return d.timers.NextDueMS() }
 
-// fireTimers fires the timers that are due, those included that become due by it.
+// fireTimers fires all timers that are due, including those that become due because
+// another one fires.
 func (d *Dispatcher) fireTimers() {
 	for {
 		due, ok := d.timers.PopDue(d.nowMS)
@@ -49,8 +51,8 @@
 	}
 }
 
-// deadlinePassed answers a request that the decisions have let pass its deadline:
-// the answer is owed now, whatever they wait for.
+// deadlinePassed answers a request whose deadline has passed without a decision. The
+// response must be sent now, even if the decision logic would wait longer.
 func (d *Dispatcher) deadlinePassed(r *request) {
 	for i := range r.attempts {
 		r.attempts[i].timedOut = true
