--- a/internal/simproto/compat_test.go
+++ b/internal/simproto/compat_test.go
@@ -24,7 +24,7 @@
 	return string(text)
 }
 
-// compatRequests are the messages of the golden file.
+// compatRequests are the messages that the golden file decodes to.
 func compatRequests() []Message {
 	engines := []control.EngineInfo{
 		{ID: "h:1", Zone: 1, Kind: 2, Cell: 3, Size: 4.5, StartedAtMS: 40},
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestCompatRequests: the simulator writes these lines. Nothing here writes them.
+// The simulator writes the lines of the golden file; no code of this repository does.
 func TestCompatRequests(t *testing.T) {
 	want := compatRequests()
 	var d Decoder
@@ -87,12 +87,12 @@
 	for i, line := range lines {
 		got, err := d.Decode([]byte(line))
 		if err != nil || !reflect.DeepEqual(got, want[i]) {
-			t.Errorf("%sis %+v, %v\nwant %+v", line, got, err, want[i])
+			t.Errorf("%sdecoded %+v, error %v\nwant %+v", line, got, err, want[i])
 		}
 	}
 }
 
-// TestCompatReplies: the simulator reads these lines. Nothing here reads them.
+// The simulator reads the lines of the golden file; no code of this repository does.
 func TestCompatReplies(t *testing.T) {
 	var got []byte
 	for _, action := range []control.Action{
@@ -118,7 +118,7 @@
 	}
 }
 
-// compatSettings are the settings of the golden file.
+// compatSettings are the settings that the golden file decodes to.
 func compatSettings() (s Settings) {
 	s.Classes = []Class{
 		{Name: "quick", LatencyObjectiveMS: 101, ObjectiveSlope: 1.5, DeadlineMS: 102, PriorityWeight: 103,
@@ -180,8 +180,8 @@
 	return s
 }
 
-// TestCompatSettings: the simulator and the configurations of installations have the
-// settings under these keys, each of which is in the golden file.
+// The simulator and the configurations of deployments use these keys of the settings.
+// The golden file contains each of them.
 func TestCompatSettings(t *testing.T) {
 	golden := goldenText(t, "settings.json")
 	want := compatSettings()
@@ -192,7 +192,7 @@
 	decoder := json.NewDecoder(strings.NewReader(golden))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("decoded\n%+v, %v, want\n%+v", got, err, want)
+		t.Fatalf("decoded\n%+v, error %v, want\n%+v", got, err, want)
 	}
 	again, err := json.MarshalIndent(&got, "", " ")
 	if err != nil || string(again)+"\n" != golden {
@@ -200,7 +200,7 @@
 	}
 }
 
-// zeroFields names the fields at zero, also within lists.
+// zeroFields returns the paths of the fields that are zero, including those in lists.
 func zeroFields(v reflect.Value, path string) (list []string) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -227,8 +227,8 @@
 	return list
 }
 
-// TestCompatDecisions: each key means to the decisions what it meant, also when it
-// comes in the simulator's line.
+// Each key keeps its meaning for the decision logic, including in a line of the
+// simulator.
 func TestCompatDecisions(t *testing.T) {
 	class := func(c control.Class) control.Class {
 		c.OrderedByKey, c.Streaming = true, true
--- a/internal/simproto/decode.go
+++ b/internal/simproto/decode.go
@@ -12,40 +12,40 @@
 // ErrMalformed is wrapped in each error of Decode.
 var ErrMalformed = errors.New("malformed message")
 
-// What may be wrong with a message. A value that the protocol does not have is an
-// errUnknown.
+// The faults of a message. The errors about a value that the protocol does not define
+// wrap errUnknown.
 var (
 	errUnknown         = errors.New("unknown")
-	errNoClockOrSerial = errors.New("no clock or number")
-	errNoInstance      = errors.New("no instance named")
-	errNoRequest       = errors.New("no request named")
-	errNoEngine        = errors.New("no engine named")
+	errNoClockOrSerial = errors.New("no clock or serial number")
+	errNoInstance      = errors.New("no instance number")
+	errNoRequest       = errors.New("no request ID")
+	errNoEngine        = errors.New("no engine ID")
 	errNoSeed          = errors.New("no seed")
 	errNoSettings      = errors.New("no settings")
-	errNoEndpointPage  = errors.New("no list numbered")
+	errNoEndpointPage  = errors.New("no endpoint page")
 	errNegativeClass   = errors.New("negative class or tenant")
-	errUnknownVerb     = fmt.Errorf("%w message", errUnknown)
+	errUnknownVerb     = fmt.Errorf("%w verb", errUnknown)
 	errUnknownOutcome  = fmt.Errorf("%w outcome", errUnknown)
 	errUnknownStatus   = fmt.Errorf("%w topic", errUnknown)
 	errUnknownState    = fmt.Errorf("%w mode", errUnknown)
 	errUnknownChange   = fmt.Errorf("%w scope", errUnknown)
 )
 
-// Decoder decodes the lines of a connection, in order. It keeps the connection's
-// numbered endpoint lists. The zero value is ready.
+// Decoder decodes the lines of one connection, in order. It stores the pages of
+// endpoints that later lines refer to by their numbers. The zero value is ready to use.
 type Decoder struct {
-	pages map[int][]control.EngineInfo
+	pages map[int][]control.EngineInfo // by number
 }
 
-// Decode decodes a line. An error wraps ErrMalformed and names the line's verb.
-// Keys that the protocol does not have are skipped. The engines of an InstanceEvent
-// are shared with later ones and must not be changed.
+// Decode decodes a line. Its errors wrap ErrMalformed and include the line's verb.
+// Unknown keys are skipped. Callers must not change the engines of an InstanceEvent:
+// later events may share them.
 func (d *Decoder) Decode(line []byte) (Message, error) {
 	var wire wireMessage
 	if err := json.Unmarshal(line, &wire); err != nil {
 		name := string(wire.Verb)
 		if name == "" {
-			name = "line without a name"
+			name = "line without a verb"
 		}
 		return nil, fmt.Errorf("%w %s: %w", ErrMalformed, name, err)
 	}
@@ -148,7 +148,7 @@
 	return StartInstance{Instance: *wire.Instance, Seed: seed, Settings: decisionSettings}, nil
 }
 
-// decodeSeed takes any 64-bit number, signed or unsigned.
+// decodeSeed accepts any 64-bit integer, signed or unsigned.
 func decodeSeed(number json.Number) (uint64, error) {
 	if seed, err := strconv.ParseUint(number.String(), 10, 64); err == nil {
 		return seed, nil
--- a/internal/simproto/decode_test.go
+++ b/internal/simproto/decode_test.go
@@ -18,13 +18,13 @@
 	return message
 }
 
-// decodeOneEvent decodes a line that needs no lines before it and is an event.
+// decodeOneEvent decodes a line that is an event and does not depend on earlier lines.
 func decodeOneEvent(t *testing.T, line string) control.Event {
 	t.Helper()
 	var d Decoder
 	message, ok := decode(t, &d, line).(InstanceEvent)
 	if !ok {
-		t.Fatalf("%s is no event: %+v", line, message)
+		t.Fatalf("%s is not an event: %+v", line, message)
 	}
 	return message.Event
 }
@@ -71,7 +71,7 @@
 	}
 	got = decodeOneEvent(t, `{"t":"DEMAND","who":0,"ref":"r","guessMs":30,"bits":4}`)
 	if got.WorkMS != 0 {
-		t.Errorf("work %v though the hint is not valid", got.WorkMS)
+		t.Errorf("work %v although the flag says that the estimate is not valid", got.WorkMS)
 	}
 }
 
@@ -112,12 +112,12 @@
 	for _, c := range []struct {
 		name, line string
 		wantText   string
-		wantError  error // nil: the text suffices
+		wantError  error // nil: only the text is checked
 	}{
 		{"no JSON", `{"t":"MARK"`, "malformed", nil},
-		{"no clock", `{"t":"MARK","serial":1}`, "no clock", errNoClockOrSerial},
+		{"no clock", `{"t":"MARK","serial":1}`, "no clock or serial number", errNoClockOrSerial},
 		{"unknown verb", `{"t":"GREETING","who":0}`, `"GREETING"`, errUnknownVerb},
-		{"unknown verb, no instance", `{"t":"GREETING"}`, "unknown message", errUnknownVerb},
+		{"unknown verb, no instance", `{"t":"GREETING"}`, "unknown verb", errUnknownVerb},
 		{"no instance", `{"t":"DEMAND","ref":"r"}`, "no instance", errNoInstance},
 		{"no instance of an event", `{"t":"MEMBERSHIP","scope":"update"}`, "no instance", errNoInstance},
 		{"no request", `{"t":"DEMAND","who":0}`, "no request", errNoRequest},
@@ -135,7 +135,8 @@
 		{"unknown outcome", `{"t":"OUTCOME","who":0,"ref":"r","engine":"h:1","rc":99}`,
 			"outcome 99", errUnknownOutcome},
 		{"unknown status", `{"t":"STATUS_NOTE","who":0,"ref":"r","topic":9}`, "topic 9", errUnknownStatus},
-		{"unknown page", `{"t":"MEMBERSHIP","who":0,"scope":"update","page":9}`, "no list", errNoEndpointPage},
+		{"unknown page", `{"t":"MEMBERSHIP","who":0,"scope":"update","page":9}`,
+			"no endpoint page 9", errNoEndpointPage},
 		{"unknown change", `{"t":"MEMBERSHIP","who":0,"scope":"odd"}`, "scope", errUnknownChange},
 		{"unknown state", `{"t":"CENSUS","page":1,"items":[{"engine":"h:1","mode":"odd"}]}`, "mode", errUnknownState},
 		{"no settings", `{"t":"ENLIST","who":0,"initSeed":1}`, "no settings", errNoSettings},
--- a/internal/simproto/decodeevent.go
+++ b/internal/simproto/decodeevent.go
@@ -6,14 +6,15 @@
 	"dewhill/control"
 )
 
-// eventDecoder is the form of the messages of one verb that are events of an instance.
+// eventDecoder decodes the messages of one verb, each of which is an event of an
+// instance.
 type eventDecoder struct {
 	decode         func(*wireMessage) (control.Event, error)
-	needsRequestID bool // a message that names none is malformed
-	needsEngine    bool // likewise
+	needsRequestID bool // a message without a request ID is malformed
+	needsEngine    bool // a message without an engine ID is malformed
 }
 
-// eventDecoders are the forms by verb, without that of verbEndpoints, whose decoding
+// eventDecoders are the decoders by verb. verbEndpoints is missing, since its decoding
 // depends on earlier messages.
 var eventDecoders = map[verb]eventDecoder{
 	verbRequestArrived:   {decode: decodeRequestArrived, needsRequestID: true},
@@ -26,7 +27,8 @@
 	verbTimerFired:       {decode: decodeTimerFired},
 }
 
-// decodeEvent decodes an event of an instance.
+// decodeEvent decodes an event and checks that it has the instance number and the IDs
+// that its verb needs.
 func decodeEvent(wire *wireMessage, decoder eventDecoder) (Message, error) {
 	if wire.Instance == nil {
 		return nil, errNoInstance
@@ -43,7 +45,8 @@
 	return InstanceEvent{Instance: *wire.Instance, Event: event}, nil
 }
 
-// decodeEndpoints is given a page that was decoded before.
+// decodeEndpoints decodes a change of the endpoint list. The page that it refers to
+// must have been decoded before, unless the list is unavailable.
 func (d *Decoder) decodeEndpoints(wire *wireMessage) (control.Event, error) {
 	var kind control.EventKind
 	switch wire.Change {
@@ -163,7 +166,8 @@
 	return result, nil
 }
 
-// decodeLoadReport returns nil for an empty report. A value that is absent is -1.
+// decodeLoadReport returns nil for an empty report. A value that is absent from the
+// report is -1.
 func decodeLoadReport(values map[string]float64) *control.LoadReport {
 	if len(values) == 0 {
 		return nil
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -8,8 +8,8 @@
 	"dewhill/control"
 )
 
-// AppendAction appends the line of an instance's action. It panics where the
-// action is of no known kind, which only a fault in package control can cause.
+// AppendAction appends the line of an instance's action. It panics if the action's kind
+// is unknown, which only a bug in package control can cause.
 func AppendAction(line []byte, instance int, action *control.Action) []byte {
 	switch action.Kind {
 	case control.StartAttempt:
@@ -56,14 +56,15 @@
 	return append(line, "}\n"...)
 }
 
-// AppendCrash appends the line that says that an instance's decisions have panicked.
+// AppendCrash appends the line that reports that the decision logic of an instance has
+// panicked.
 func AppendCrash(line []byte, instance int, text string) []byte {
 	line = appendHeader(line, verbCrash, instance)
 	line = appendString(line, keyMessage, text)
 	return append(line, "}\n"...)
 }
 
-// AppendOK appends the line that acknowledges a batch and ends its reply.
+// AppendOK appends the line that acknowledges a batch and ends the reply to the batch.
 func AppendOK(line []byte, serial int64) []byte {
 	line = appendVerb(line, verbAcknowledge)
 	line = appendKey(line, keySerial)
@@ -71,8 +72,9 @@
 	return append(line, "}\n"...)
 }
 
-// logText returns the text of a log entry. Entries that the simulator's recordings
-// hold have the text of the protocol, others their own.
+// logText returns the text of a log entry. The entries that recordings of the simulator
+// contain keep the text of the protocol; all others have the text of their String
+// method.
 func logText(entry control.LogEntry) string {
 	switch e := entry.(type) {
 	case control.EngineEjected:
@@ -84,6 +86,8 @@
 	}
 }
 
+// appendHeader appends the verb and the instance number, with which the line of an
+// instance starts.
 func appendHeader(line []byte, v verb, instance int) []byte {
 	line = appendVerb(line, v)
 	line = appendKey(line, keyInstance)
@@ -111,8 +115,8 @@
 	return strconv.AppendFloat(appendKey(line, k), value, 'f', -1, 64)
 }
 
-// appendJSON appends a value that always encodes: a string, bytes or a bool.
+// appendJSON appends a string, bytes or a bool as JSON.
 func appendJSON[T string | []byte | bool](line []byte, k key, value T) []byte {
-	encoded, _ := json.Marshal(value) // such a value always encodes
+	encoded, _ := json.Marshal(value) // values of these types always encode
 	return append(appendKey(line, k), encoded...)
 }
--- a/internal/simproto/encode_test.go
+++ b/internal/simproto/encode_test.go
@@ -68,7 +68,7 @@
 func TestAppendUnknownAction(t *testing.T) {
 	defer func() {
 		if recover() == nil {
-			t.Error("an action of unknown kind was encoded")
+			t.Error("AppendAction did not panic on an action of unknown kind")
 		}
 	}()
 	AppendAction(nil, 3, &control.Action{Kind: -1})
--- a/internal/simproto/logtext_test.go
+++ b/internal/simproto/logtext_test.go
@@ -6,7 +6,7 @@
 	"dewhill/control"
 )
 
-// customLogEntry is a log entry that the protocol has no text for.
+// customLogEntry is a log entry for which the protocol defines no text.
 type customLogEntry struct {
 	control.LogEntry
 	text string
@@ -14,7 +14,7 @@
 
 func (l customLogEntry) String() string { return l.text }
 
-// TestCompatLogText: recordings of the simulator hold these texts.
+// Recordings of the simulator contain these texts.
 func TestCompatLogText(t *testing.T) {
 	for _, c := range []struct {
 		entry control.LogEntry
--- a/internal/simproto/message.go
+++ b/internal/simproto/message.go
@@ -7,25 +7,25 @@
 
 // BatchStart starts a batch.
 type BatchStart struct {
-	NowMS  float64 // the clock of all events of the batch
-	Serial int64   // to be acknowledged when the batch has ended
+	NowMS  float64 // the time of all events of the batch
+	Serial int64   // number by which the end of the batch is acknowledged
 }
 
 // BatchEnd ends a batch.
 type BatchEnd struct{}
 
-// EndpointPage says that the Decoder has stored an endpoint list, to which later
-// lines refer. It asks for nothing.
+// EndpointPage reports that the Decoder has stored a page of endpoints, to which later
+// lines refer. It requires no action.
 type EndpointPage struct{}
 
-// StartInstance starts a gateway. It takes the place of an earlier one of the same number.
+// StartInstance starts a gateway. It replaces an earlier gateway with the same number.
 type StartInstance struct {
 	Instance int
 	Seed     uint64
 	Settings control.Settings
 }
 
-// StopInstance stops a gateway for good.
+// StopInstance stops a gateway and discards its state.
 type StopInstance struct{ Instance int }
 
 // InstanceEvent is an event of a gateway.
--- a/internal/simproto/protocol.go
+++ b/internal/simproto/protocol.go
@@ -1,15 +1,16 @@
-// Package simproto translates between the lines of the simulator's protocol and
-// the events and actions of package control. It makes no decision.
+// Package simproto translates between the lines of the simulator's protocol and the
+// events and actions of package control. It decides nothing itself.
 //
-// The protocol is lines of JSON. A batch starts with the clock and a serial number,
-// holds messages of any number of gateway instances, and ends; it is answered by
-// the actions of all instances and an acknowledgement with the serial number.
+// A line of the protocol is a JSON object. A batch starts with the clock and a serial
+// number, contains messages to any number of gateway instances, and ends. The reply to
+// a batch consists of the actions of all instances and an acknowledgement with the
+// serial number.
 //
-// protocol.go has the protocol's verbs, keys and codes, which have names of their
-// own, and maps them to the terms of this program; nothing else uses them.
-// message.go has the messages; decode.go, with decodeevent.go for the events of
-// instances, turns lines into messages, encode.go actions into lines. settings.go
-// maps the keys of the settings, which configurations of installations use too.
+// protocol.go has the verbs, keys and codes of the protocol and maps them to the terms
+// of this program. The protocol's own terms are used nowhere else. message.go has the
+// messages; decode.go decodes lines into messages, decodeevent.go does so for the
+// events of instances, and encode.go encodes actions into lines. settings.go maps the
+// keys of the settings, which the configurations of deployments use too.
 package simproto
 
 import (
@@ -18,7 +19,7 @@
 	"dewhill/control"
 )
 
-// verb is the protocol's name for a kind of message.
+// verb is the name of a kind of message in the protocol.
 type verb string
 
 // The verbs of messages from the simulator.
@@ -55,7 +56,7 @@
 	verbAcknowledge    verb = "OK"
 )
 
-// key is the protocol's name for a field of a message.
+// key is the name of a field of a message in the protocol.
 type key string
 
 // The keys of messages to the simulator.
@@ -77,22 +78,22 @@
 	keyEnable     key = "enable"
 )
 
-// allPeers addresses a message to every peer.
+// allPeers is the address of a message to all peers.
 const allPeers = "*"
 
-// wireMessage holds every field of every message from the simulator. A pointer is
-// nil where the message does not have the field.
+// wireMessage has the fields of all messages from the simulator. A pointer is nil if
+// the message does not have the field.
 type wireMessage struct {
 	Verb     verb     `json:"t"`
 	NowMS    *float64 `json:"momentMs"`
 	Serial   *int64   `json:"serial"`
 	Instance *int     `json:"who"`
 
-	// The start of an instance.
+	// Start of an instance.
 	Seed     json.Number     `json:"initSeed"`
 	Settings json.RawMessage `json:"env"`
 
-	// The endpoint list.
+	// Endpoint list.
 	Page    int            `json:"page"`
 	Entries []wireEndpoint `json:"items"`
 	Change  endpointChange `json:"scope"`
@@ -145,23 +146,23 @@
 	endpointRemoved  endpointState = "dead"
 )
 
-// endpointChange says what a page of endpoints is to an instance.
+// endpointChange says what a page of endpoints means for an instance.
 type endpointChange string
 
 const (
-	endpointsUpdated     endpointChange = "update"  // the page has the entries that changed
+	endpointsUpdated     endpointChange = "update"  // the page contains the entries that changed
 	endpointsReplaced    endpointChange = "replace" // the page is the complete list
 	endpointsRestored    endpointChange = "restored"
 	endpointsUnavailable endpointChange = "unavailable"
 )
 
-// requestFlag is a set of bits that say which hints of a request are valid.
+// requestFlag is a set of bits that say which estimates of a request are valid.
 type requestFlag int
 
-// workEstimateValid is set where the estimate of a request's work is valid.
+// workEstimateValid is set if the estimate of a request's work is valid.
 const workEstimateValid requestFlag = 1
 
-// attemptStatus says what the value of a status message is.
+// attemptStatus says what the value of a status message means.
 type attemptStatus int
 
 const (
@@ -170,7 +171,7 @@
 	statusBlocked       attemptStatus = 3
 )
 
-// results maps the codes of outcomes.
+// results maps the result codes of the protocol.
 var results = map[int]control.Result{
 	10: control.Served,
 	20: control.Errored,
@@ -191,25 +192,25 @@
 	reportDiskFraction   = "x1"
 )
 
-// packedCost is what an attempt cost its engine: work in milliseconds in the high
-// bits and memory in units of memoryUnitMB in the low ones.
+// packedCost is the cost of an attempt for its engine: the work in milliseconds in the
+// high bits, and the memory in units of memoryUnitMB in the low bits.
 type packedCost int64
 
 const (
-	memoryFieldRange = 4096
+	memoryFieldRange = 4096 // number of values that the low bits can have
 	memoryUnitMB     = 4
 )
 
 func (c packedCost) workMS() float64   { return float64(c / memoryFieldRange) }
 func (c packedCost) memoryMB() float64 { return float64(c%memoryFieldRange) * memoryUnitMB }
 
-// The texts of log entries that the simulator's recordings hold.
+// The texts of log entries that recordings of the simulator contain.
 const (
 	ejectedText   = "engine %s shut out for %.0f ms: %s"
 	recoveredText = "engine %s back"
 )
 
-// ejectionCauses maps the causes of an ejection to their texts.
+// ejectionCauses maps the causes of an ejection to their texts in the protocol.
 var ejectionCauses = map[control.EjectionCause]string{
 	control.ConsecutiveFailures: "failures",
 	control.UnresponsiveEngine:  "silent",
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -7,18 +7,18 @@
 	"dewhill/control"
 )
 
-// Settings are the settings of a gateway, in the simulator's message that starts an
-// instance and in a front end's configuration. Keys that are not here are skipped;
-// those that are absent leave a field at zero.
+// Settings are the settings of a gateway, both in the simulator's message that starts
+// an instance and in the configuration of a front end. Unknown keys are skipped; a
+// field whose key is absent is zero.
 type Settings struct {
 	Classes         []Class   `json:"categories"`
 	Contract        Contract  `json:"contract"`
 	Tenants         []Tenant  `json:"customers"`
 	Discovery       string    `json:"discovery"` // "ask": endpoint lists are polled
 	Domain          Domain    `json:"domain"`
-	EngineKinds     []string  `json:"hostTypes"` // names; nothing is decided by them
+	EngineKinds     []string  `json:"hostTypes"` // names, which do not influence decisions
 	Limits          Limits    `json:"limits"`
-	Zones           []string  `json:"localities"` // names; nothing is decided by them
+	Zones           []string  `json:"localities"` // names, which do not influence decisions
 	GatewayIndex    int       `json:"ordinal"`
 	OverQuotaWeight float64   `json:"overShareWorth"`
 	GatewayCount    int       `json:"replicasOfMe"`
@@ -27,9 +27,9 @@
 	Zone            int       `json:"zone"`
 }
 
-// Class is a class of requests. See control.Class.
+// Class describes a class of requests. See control.Class.
 type Class struct {
-	Name                string  `json:"name"` // nothing is decided by it
+	Name                string  `json:"name"` // does not influence decisions
 	LatencyObjectiveMS  float64 `json:"aimMs"`
 	ObjectiveSlope      float64 `json:"aimStretch"`
 	DeadlineMS          float64 `json:"hardLimitMs"`
@@ -44,7 +44,8 @@
 	EngineKinds         []int   `json:"hostTypesOpen"`
 }
 
-// Contract is what gateways owe their clients and engines. See control.Settings.
+// Contract has the limits that gateways must keep towards clients and engines. See
+// control.Settings.
 type Contract struct {
 	AnswerGraceMS            float64 `json:"graceToAnswerMs"`
 	DrainGraceMS             float64 `json:"stopSendingWithinMs"`
@@ -59,14 +60,14 @@
 	RetryBudgetWindowMS      float64 `json:"countedOverMs"`
 }
 
-// Tenant is a tenant's quota.
+// Tenant is the quota of a tenant.
 type Tenant struct {
-	Name              string  `json:"name,omitempty"` // in clients' requests; nothing else is decided by it
+	Name              string  `json:"name,omitempty"` // requests name the tenant by it; no other use
 	RequestsPerSecond float64 `json:"allowancePerS"`
 }
 
-// Domain is what is particular to query engines. Lists by class are in the order
-// of Settings.Classes, lists by kind in that of Settings.EngineKinds.
+// Domain has the settings that are specific to query engines. Lists by class are in the
+// order of Settings.Classes, lists by kind in that of Settings.EngineKinds.
 type Domain struct {
 	BlockedByLoads     []bool    `json:"blockedByLoads"` // by class
 	IsLoad             []bool    `json:"classLoad"`      // by class
@@ -78,13 +79,13 @@
 	ProgressIntervalMS float64   `json:"progressMs"`
 	CanPrioritize      bool      `json:"takesPriority"`
 	EnginesReportCost  bool      `json:"tellsCost"`
-	// MemoryShortMode decides nothing. It is read because the simulator and the
-	// configurations of installations have it, and internal/mysql refuses a
-	// configuration with an unknown key.
+	// MemoryShortMode does not influence decisions. The field exists because the
+	// simulator and the configurations of deployments set it, and internal/mysql
+	// rejects a configuration with an unknown key.
 	MemoryShortMode string `json:"memoryShort"`
 }
 
-// Limits are what a gateway may do, and how much of it.
+// Limits are the actions that a gateway is allowed, and their limits.
 type Limits struct {
 	ConnectionIdleMS     float64 `json:"connIdleMs"`
 	ConnectTimeoutMS     float64 `json:"connectTimeoutMs"`
@@ -101,7 +102,7 @@
 
 // Reporting says how engines report their load.
 type Reporting struct {
-	Via string `json:"via"` // "answers": with answers and probes, "probe": with probes, else not at all
+	Via string `json:"via"` // "answers": in replies and probes; "probe": in probes; otherwise not at all
 }
 
 // Values of the settings.
@@ -126,8 +127,8 @@
 	"cell": control.SameCell,
 }
 
-// Control returns the settings as package control takes them. A class whose
-// idempotency or scope is not one of the known values is an error that names the value.
+// Control converts the settings to those of package control. It returns an error that
+// includes the value if the idempotency or scope of a class is unknown.
 func (s *Settings) Control() (control.Settings, error) {
 	settings := control.Settings{
 		GatewayIndex:             s.GatewayIndex,
@@ -217,7 +218,7 @@
 	return kinds
 }
 
-// valueAt returns the value at an index, or zero where the list is shorter.
+// valueAt returns the value at an index, or zero if the list is too short.
 func valueAt[T any](list []T, i int) T {
 	if i < len(list) {
 		return list[i]
--- a/internal/simproto/settings_test.go
+++ b/internal/simproto/settings_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// The settings of the decisions hold no name: whatever an installation calls its
-// classes, kinds of engines, zones and tenants, they are the same. Entries are
-// numbered all the same, so none is left out.
+// The names of classes, engine kinds, zones and tenants do not influence decisions:
+// with other names, the settings of package control are the same. Every entry still
+// counts, since the decision logic refers to entries by their position.
 func TestNamesAreNotDecisionSettings(t *testing.T) {
 	const text = `{"categories":[{"name":"A","aimMs":700,"hardLimitMs":4000,"value":2,"effect":"pure"},
 		{"name":"B","aimMs":900,"hardLimitMs":9000,"value":3,"effect":"token","group":"zone","windowMs":800,
@@ -67,11 +67,12 @@
 		other = strings.ReplaceAll(other, strconv.Quote(name), strconv.Quote("lookup "+name+" load"))
 	}
 	if a, b := read(text), read(other); !reflect.DeepEqual(a, b) || len(a.Classes) != 3 || a.EngineKinds[1].Cores != 7 {
-		t.Errorf("by other names the settings are\n%+v\nnot\n%+v", b, a)
+		t.Errorf("with other names the settings are\n%+v\nwant\n%+v", b, a)
 	}
 }
 
-// Tenants are told apart by their names, which earlier settings did not have.
+// Requests refer to tenants by name. Settings that were written before tenants had
+// names remain valid.
 func TestTenantNames(t *testing.T) {
 	var settings Settings
 	text := `{"customers":[{"name":"north","allowancePerS":3},{"allowancePerS":4}]}`
--- a/internal/simproto/unknown_test.go
+++ b/internal/simproto/unknown_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Keys that the protocol doesn't name are skipped in each message, at each level, and so
-// are values of a load report that are not known.
+// Keys that the protocol does not define are skipped in each message, at every level,
+// as are unknown values of a load report.
 func TestUnknownKeysAreSkipped(t *testing.T) {
 	for _, line := range []string{
 		`{"t":"MARK","momentMs":1,"serial":2}`,
