--- a/cmd/adapter/compat_test.go
+++ b/cmd/adapter/compat_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestCompatSession: the simulator drives the adapter by such lines, and gets the
-// same replies. Where the decisions change, so may these replies; their form, which
-// internal/simproto's golden files hold line by line, may not.
+// The simulator sends lines like those of the golden file and must get the same
+// replies. A change of the decision logic may change these replies, but not their
+// format, which the golden files of internal/simproto check line by line.
 func TestCompatSession(t *testing.T) {
 	read := func(file string) []byte {
 		text, err := os.ReadFile(filepath.Join("testdata", "compat", file))
@@ -21,6 +21,6 @@
 	requests, want := read("requests.jsonl"), read("replies.jsonl")
 	var got bytes.Buffer
 	if err := serve(bytes.NewReader(requests), &got); err != nil || !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("%v, replies\n%sgolden\n%s", err, got.Bytes(), want)
+		t.Errorf("error %v, replies\n%sgolden file\n%s", err, got.Bytes(), want)
 	}
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,7 +1,6 @@
-// Adapter runs gateways for the simulator: it reads lines of the simulator's
-// protocol from standard input and writes the gateways' actions to standard
-// output. It exits with status 1, and a line on standard error, when it cannot
-// read its input.
+// Adapter runs gateways for the simulator: it reads lines of the simulator's protocol
+// from standard input and writes the gateways' actions to standard output. If it cannot
+// read its input, it writes one line to standard error and exits with status 1.
 package main
 
 import (
@@ -15,13 +14,13 @@
 	"dewhill/internal/simproto"
 )
 
-// inputBufferBytes is the size of the input's buffer; a line may be longer.
+// inputBufferBytes is the size of the input buffer. Lines may be longer.
 const inputBufferBytes = 1 << 20
 
 var (
 	errInputEndedInBatch = errors.New("input ended within a batch")
 	errMalformedBatch    = errors.New("malformed batch: MARK and END do not alternate")
-	errNotStarted        = errors.New("message for an instance that was not started")
+	errNotStarted        = errors.New("message to an instance that was not started")
 )
 
 func main() {
@@ -31,7 +30,7 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// serve replies to batches until the input ends.
 func serve(r io.Reader, w io.Writer) error {
 	input := bufio.NewReaderSize(r, inputBufferBytes)
 	session := session{gateways: map[int]*control.Gateway{}, output: w}
@@ -52,15 +51,15 @@
 // session is the state of a connection to the simulator.
 type session struct {
 	decoder  simproto.Decoder
-	gateways map[int]*control.Gateway // by instance
+	gateways map[int]*control.Gateway // by instance number
 	output   io.Writer
 
 	inBatch bool
-	batch   simproto.BatchStart // the current or last batch
-	reply   []byte              // to the batch
+	batch   simproto.BatchStart // the current batch, or the last one
+	reply   []byte              // to batch
 }
 
-// end is called when the input has ended.
+// end returns an error if the input has ended within a batch.
 func (s *session) end() error {
 	if s.inBatch {
 		return errInputEndedInBatch
@@ -103,9 +102,9 @@
 	return nil
 }
 
-// appendActions appends the actions of a gateway on an event. If the gateway
-// panics, it appends none of them but the protocol's message for it, so that the
-// simulator's run ends with the text of the panic.
+// appendActions appends the actions with which a gateway responds to an event. If the
+// gateway panics, it appends the protocol's crash message in place of any actions, so
+// that the simulator's run ends with the text of the panic.
 func appendActions(reply []byte, gateway *control.Gateway, nowMS float64, event *simproto.InstanceEvent) (out []byte) {
 	defer func() {
 		if v := recover(); v != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -17,7 +17,7 @@
 	batchStart2 = `{"t":"MARK","momentMs":20,"serial":2}` + "\n"
 	batchEnd    = `{"t":"END"}` + "\n"
 
-	// startInstance has a % where the instance's number goes.
+	// startInstance has % in place of the instance's number.
 	startInstance = `{"t":"ENLIST","who":%,"initSeed":5,` +
 		`"env":{"categories":[{"aimMs":500,"effect":"pure"}],"hostTypes":["k"],` +
 		`"domain":{"coresByKind":[4],"dop":[1]},"replicasOfMe":1}}` + "\n" +
@@ -48,8 +48,8 @@
 	return stdoutBuffer.String(), stderrBuffer.String(), err
 }
 
-// The program over pipes: two instances, a request, a clean end, and a line on
-// standard error with a failing exit on input that it can't read.
+// The program serves two instances and a request over pipes and exits cleanly. On input
+// that it cannot read, it writes one line to standard error and exits with an error.
 func TestProgram(t *testing.T) {
 	path := buildAdapter(t)
 	stdout, _, err := runAdapter(path, batchStart1+start("0")+start("1")+batchEnd+
@@ -81,7 +81,7 @@
 	}
 }
 
-// A panic of a gateway becomes the protocol's message for it.
+// A panic of a gateway is reported by the protocol's crash message.
 func TestPanicIsReported(t *testing.T) {
 	var broken control.Gateway // not made by New
 	event := simproto.InstanceEvent{Instance: 2, Event: control.Event{
--- a/cmd/dewhill/compat_test.go
+++ b/cmd/dewhill/compat_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// The platform and the operators start the program: by $PROXY_CONFIG, by flags, and by
-// files at default paths under the working directory. Each name leads to its file,
-// here to one that can't be read, which the error then names.
+// The platform and the operators start the program by $PROXY_CONFIG, by flags and by
+// files at default paths under the working directory. Each of these names must lead to
+// its file: here the file cannot be read, and the error must name it.
 func TestCompatStart(t *testing.T) {
 	config, err := filepath.Abs("testdata/compat/config.json")
 	if err != nil {
@@ -34,22 +34,23 @@
 			if err := os.MkdirAll("deploy", 0o700); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.Mkdir(c.unreadable, 0o700); err != nil { // a folder can't be read as a file
+			if err := os.Mkdir(c.unreadable, 0o700); err != nil { // a directory cannot be read as a file
 				t.Fatal(err)
 			}
 			if err := run(c.args); err == nil || !strings.Contains(err.Error(), c.unreadable) {
-				t.Errorf("%v, want an error that names %s", err, c.unreadable)
+				t.Errorf("error %v, want one that names %s", err, c.unreadable)
 			}
 		})
 	}
 }
 
-// Without a configuration and a MySQL front end the program ends, and says so.
-func TestCompatStartWithoutAnything(t *testing.T) {
+// Without a configuration and without a MySQL front end the program ends with an error
+// that says so.
+func TestCompatStartWithoutConfiguration(t *testing.T) {
 	t.Chdir(t.TempDir())
 	t.Setenv("PROXY_CONFIG", "")
 	want := "nothing to serve: PROXY_CONFIG names no configuration, and the MySQL front is off"
 	if err := run(nil); err == nil || err.Error() != want {
-		t.Errorf("%v, want %s", err, want)
+		t.Errorf("error %v, want %s", err, want)
 	}
 }
--- a/cmd/dewhill/main.go
+++ b/cmd/dewhill/main.go
@@ -3,11 +3,11 @@
 //	dewhill [-mysql FILE] [-fleet FILE] [-group FILE]
 //	dewhill import-haproxy FILE
 //
-// The first form serves: the platform's clients where $PROXY_CONFIG names a
-// configuration, MySQL clients where the file of -mysql turns that on, or both. The
-// second prints a MySQL front end file made from an HAProxy configuration. The exit
-// status is 0 after a graceful shutdown, and 1 after an error, which is printed in
-// one line. The README has more.
+// The first form serves the platform's clients if $PROXY_CONFIG names a
+// configuration, MySQL clients if the file of -mysql enables them, or both. The second
+// form prints a MySQL front end file made from an HAProxy configuration. The exit status
+// is 0 after a graceful shutdown, and 1 after an error, which is printed in one line.
+// The README has more.
 package main
 
 import (
@@ -45,13 +45,16 @@
 	return haproxy.Run(args[0], os.Stdout, os.Stderr)
 }
 
-// serve runs the front ends until the program is told to end.
+// serve runs the front ends until a signal shuts down the program.
 func serve(args []string) error {
 	signals := server.NotifySignals()
 	flags := flag.NewFlagSet("dewhill", flag.ContinueOnError)
-	mysqlPath := flags.String("mysql", "deploy/mysql.json", "the MySQL front's file; the front is off where there is none")
-	subsetPath := flags.String("fleet", "deploy/fleet.toml", "the fleet's subsets of engines; defaults where there is none")
-	clusterPath := flags.String("group", "deploy/group.toml", "what front ends keep together; off where there is none")
+	mysqlPath := flags.String("mysql", "deploy/mysql.json",
+		"file of the MySQL front end, which is off if the file does not exist")
+	subsetPath := flags.String("fleet", "deploy/fleet.toml",
+		"file of the engine subsets; defaults apply if the file does not exist")
+	clusterPath := flags.String("group", "deploy/group.toml",
+		"file of the cluster of front ends, which is off if the file does not exist")
 	if err := flags.Parse(args); err != nil {
 		return err
 	}
@@ -69,8 +72,8 @@
 	return server.Run(platformConfig, mysqlConfig, signals)
 }
 
-// readPlatformConfig reads the configuration that $PROXY_CONFIG names, with the
-// operators' files beside it; nil where it names none.
+// readPlatformConfig reads the configuration that $PROXY_CONFIG names, and the
+// operators' files for it. It returns nil if $PROXY_CONFIG names no configuration.
 func readPlatformConfig(subsetPath, clusterPath string) (*server.Config, error) {
 	path := os.Getenv("PROXY_CONFIG")
 	if path == "" {
