--- a/internal/dispatch/answer.go
+++ b/internal/dispatch/answer.go
@@ -3,8 +3,8 @@
 import "dewhill/control"
 
 // deadlineToleranceMS is how long before a request's deadline a rejection or failure is
-// already attributed to the deadline: the decision logic ends an overdue request in one
-// of its last sweeps before the deadline.
+// already attributed to the deadline: the decision logic ends a request that has run out
+// of time in one of its last sweeps before the deadline.
 const deadlineToleranceMS = 60
 
 // reject answers a request with a rejection. If an attempt may have run, the response
--- a/internal/simproto/compat_test.go
+++ b/internal/simproto/compat_test.go
@@ -114,7 +114,7 @@
 	got = AppendCrash(got, 3, "oops")
 	got = AppendOK(got, 9007199254740993)
 	if want := goldenText(t, "replies.jsonl"); string(got) != want {
-		t.Errorf("replies are\n%sgolden\n%s", got, want)
+		t.Errorf("replies are\n%sgolden file\n%s", got, want)
 	}
 }
 
@@ -196,7 +196,7 @@
 	}
 	again, err := json.MarshalIndent(&got, "", " ")
 	if err != nil || string(again)+"\n" != golden {
-		t.Errorf("encoded again\n%s, %v, golden\n%s", again, err, golden)
+		t.Errorf("encoded again\n%s, error %v, golden file\n%s", again, err, golden)
 	}
 }
 
@@ -269,14 +269,14 @@
 	var d Decoder
 	got, err := d.Decode([]byte(`{"t":"ENLIST","who":1,"initSeed":2,"env":` + env.String() + "}\n"))
 	if err != nil || !reflect.DeepEqual(got, StartInstance{Instance: 1, Seed: 2, Settings: want}) {
-		t.Errorf("%v, message\n%+v, want settings\n%+v", err, got, want)
+		t.Errorf("error %v, message\n%+v, want settings\n%+v", err, got, want)
 	}
 	for via, want := range map[string][2]bool{"answers": {true, true}, "probe": {false, true}, "": {false, false}} {
 		s := Settings{}
 		s.Reporting.Via = via
 		got, err := s.Control()
 		if err != nil || got.LoadReportsInAnswers != want[0] || got.LoadReportsInProbes != want[1] {
-			t.Errorf("reporting via %q: %+v, %v", via, got, err)
+			t.Errorf("reporting via %q: %+v, error %v", via, got, err)
 		}
 	}
 }
--- a/internal/simproto/protocol.go
+++ b/internal/simproto/protocol.go
@@ -7,7 +7,7 @@
 // serial number.
 //
 // protocol.go has the verbs, keys and codes of the protocol and maps them to the terms
-// of this program. The protocol's own terms are used nowhere else. message.go has the
+// of this program; other code does not use the protocol's names. message.go has the
 // messages; decode.go decodes lines into messages, decodeevent.go does so for the
 // events of instances, and encode.go encodes actions into lines. settings.go maps the
 // keys of the settings, which the configurations of deployments use too.
