--- a/internal/server/eventloop.go
+++ b/internal/server/eventloop.go
@@ -213,7 +213,7 @@
 		l.backend.CancelAttempt(e)
 	case dispatch.SetPriority:
 		l.backend.SetPriority(e)
-	case dispatch.Answer:
+	case dispatch.Response:
 		l.respond(e)
 	case dispatch.RequestClosed:
 		l.requestLog.requestClosed(l.Now(), e)
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -16,7 +16,7 @@
 	class      int
 	deadlineMS float64
 	work       any // passed to the engine backend with each attempt
-	respond    func(dispatch.Answer, any)
+	respond    func(dispatch.Response, any)
 	result     any // result of the attempt that was served, passed to respond
 }
 
@@ -25,7 +25,7 @@
 
 // Submit accepts a request. respond is called once, on the loop, unless the request is
 // abandoned. Submit returns an error for a request whose id was accepted recently.
-func (l *EventLoop) Submit(r dispatch.Request, work any, respond func(dispatch.Answer, any)) error {
+func (l *EventLoop) Submit(r dispatch.Request, work any, respond func(dispatch.Response, any)) error {
 	if l.requests[r.ID] != nil || l.recentIDs.contains(r.ID) {
 		return errDuplicateID
 	}
@@ -47,7 +47,7 @@
 }
 
 // respond sends the response to a request and removes the request.
-func (l *EventLoop) respond(a dispatch.Answer) {
+func (l *EventLoop) respond(a dispatch.Response) {
 	r := l.requests[a.RequestID]
 	if r == nil {
 		return
