--- a/internal/server/mysqlfrontend.go
+++ b/internal/server/mysqlfrontend.go
@@ -10,18 +10,18 @@
 	"dewhill/internal/mysql"
 )
 
-// errMySQLOff is the error of a reload that would turn the MySQL front end off.
-var errMySQLOff = errors.New("there is no file, or it says off")
+// errMySQLDisabled is the error of a reload that would turn the MySQL front end off.
+var errMySQLDisabled = errors.New("the file does not exist or turns the MySQL front end off")
 
-// MySQLConfig is the MySQL front end's configuration and the path of its file, so
-// that its engines can be read again.
+// MySQLConfig is the MySQL front end's configuration, with the path of its file for
+// reloads.
 type MySQLConfig struct {
 	Path   string
 	Config *mysql.Config
 }
 
-// ReadMySQLConfig reads the MySQL front end's file; nil where it is off, or where
-// there is no file.
+// ReadMySQLConfig reads the MySQL front end's file. It returns nil if the file does not
+// exist or turns the front end off.
 func ReadMySQLConfig(path string) (*MySQLConfig, error) {
 	cfg, err := mysql.ReadConfig(path)
 	if cfg == nil || err != nil {
@@ -39,16 +39,15 @@
 	server *mysql.Server
 }
 
-// newMySQLFrontEnd makes a front end and its service. platform is this process's
-// platform front end, where it has one: its cluster grants the leases of loads,
-// where state is replicated.
+// newMySQLFrontEnd creates a front end and its service. platform is the platform front end
+// of this process, or nil: if state is replicated, its cluster grants the leases of loads.
 func newMySQLFrontEnd(config *MySQLConfig, platform *platformFrontEnd) (*service, error) {
 	cfg := config.Config
 	settings, err := mySQLControlSettings(cfg)
 	if err != nil {
 		return nil, err
 	}
-	listener, err := listen(cfg.Listen, platform != nil && platform.cfg.operatorsMayCall())
+	listener, err := listen(cfg.Listen, platform != nil && platform.cfg.operatorAPIEnabled())
 	if err != nil {
 		return nil, err
 	}
@@ -57,19 +56,19 @@
 	f.server = mysql.NewServer(f.loop, cfg)
 	f.loop.backend = f.pool
 	f.loop.countersReport = f.report
-	if platform != nil && platform.sharesState() {
+	if platform != nil && platform.replicatesState() {
 		f.server.Leases = leaseCoordinator{platform: platform, mysqlLoop: f.loop}
 	}
 	f.applyEngines(cfg.Engines)
 	deadlineMS := 0.0
-	if platform != nil { // the platform kills the process some time after a shutdown
+	if platform != nil { // the platform kills the process some time after the shutdown signal
 		deadlineMS = maxDeadlineMS(cfg.Settings.Classes)
 	}
 	return newService(f.loop, listener, f, deadlineMS), nil
 }
 
-// mySQLControlSettings are the settings of package control. This front end has no
-// peers.
+// mySQLControlSettings returns the settings for package control. Gossip is off, as this
+// front end has no peers.
 func mySQLControlSettings(cfg *mysql.Config) (control.Settings, error) {
 	settings, err := cfg.Settings.Control()
 	if err != nil {
@@ -84,16 +83,16 @@
 	return settings, nil
 }
 
-// applyEngines replaces the engines.
+// applyEngines replaces the engines in the pool and in the dispatcher.
 func (f *mySQLFrontEnd) applyEngines(engines []mysql.Engine) {
 	infos := f.pool.SetEndpoints(engines, f.cfg.Settings.EngineKinds)
 	f.loop.apply(dispatch.EndpointsChanged{Snapshot: true, Engines: infos})
 }
 
-// reload reads the file again and has the loop apply its engines. All else is for the
-// next start.
+// reload reads the file again and has the loop apply its engines. All other settings take
+// effect at the next start.
 func (f *mySQLFrontEnd) reload() {
-	cfg, err := readWithRetries(f.readAgain)
+	cfg, err := readWithRetries(f.rereadConfig)
 	f.loop.Post(func() {
 		if err != nil {
 			f.loop.Logf("reload failed, engines unchanged: %v", err)
@@ -104,10 +103,11 @@
 	})
 }
 
-func (f *mySQLFrontEnd) readAgain() (*mysql.Config, error) {
+// rereadConfig returns an error instead of a nil configuration.
+func (f *mySQLFrontEnd) rereadConfig() (*mysql.Config, error) {
 	cfg, err := mysql.ReadConfig(f.path)
 	if cfg == nil && err == nil {
-		return nil, errMySQLOff
+		return nil, errMySQLDisabled
 	}
 	return cfg, err
 }
@@ -125,12 +125,12 @@
 // Serve accepts clients until the listener is closed.
 func (f *mySQLFrontEnd) Serve(listener net.Listener) { f.server.Serve(listener) }
 
-// ServeConn serves a client that Serve did not accept.
+// ServeConn serves a client's connection that Serve did not accept.
 func (f *mySQLFrontEnd) ServeConn(conn net.Conn) { f.server.ServeConn(conn) }
 
 func (f *mySQLFrontEnd) started() {}
 
-// replaced is always false: only the platform front end hands over.
+// replaced returns false: only the platform front end hands over to another process.
 func (f *mySQLFrontEnd) replaced() bool { return false }
 
 func (f *mySQLFrontEnd) beginShutdown(bool) { f.server.BeginShutdown() }
