--- a/internal/antientropy/tree_test.go
+++ b/internal/antientropy/tree_test.go
@@ -5,68 +5,69 @@
 	"testing"
 )
 
-// testEntry is an entry of a set with its number as key and content.
+// testEntry is an entry whose key and content are one number.
 type testEntry uint64
 
 func (e testEntry) Hash() uint64 { return Mix(uint64(e)) }
 func (e testEntry) Sum() uint64  { return Mix(uint64(e) + 1<<32) }
 
-// TestComparisonFindsDifferences checks that the steps of a comparison end with
-// all entries that only one of two copies has, and with no others.
+// TestComparisonFindsDifferences checks that the steps of a comparison find all entries
+// that only one of two copies has, and no other entries.
 func TestComparisonFindsDifferences(t *testing.T) {
 	const (
 		common    = 600
 		different = 20
 	)
-	ours, theirs := New[testEntry](), New[testEntry]()
-	onlyOurs, onlyTheirs := map[testEntry]bool{}, map[uint64]bool{}
+	local, remote := New[testEntry](), New[testEntry]()
+	onlyLocal, onlyRemote := map[testEntry]bool{}, map[uint64]bool{}
 	for i := range common {
-		ours.Insert(testEntry(i))
-		theirs.Insert(testEntry(i))
+		local.Insert(testEntry(i))
+		remote.Insert(testEntry(i))
 	}
 	for i := range different {
-		left, right := testEntry(common+2*i), testEntry(common+2*i+1)
-		ours.Insert(left)
-		theirs.Insert(right)
-		onlyOurs[left] = true
-		onlyTheirs[right.Hash()] = true
+		onlyHere, onlyThere := testEntry(common+2*i), testEntry(common+2*i+1)
+		local.Insert(onlyHere)
+		remote.Insert(onlyThere)
+		onlyLocal[onlyHere] = true
+		onlyRemote[onlyThere.Hash()] = true
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	always := func() bool { return true }
+	unlimited := func() bool { return true }
 	var compare func(from, to *Tree[testEntry], content RangeContent)
 	compare = func(from, to *Tree[testEntry], content RangeContent) {
 		if content.Sums != nil {
-			to.Descend(content.Range, content.Sums, rng, always, func(child RangeContent) { compare(to, from, child) })
+			to.Descend(content.Range, content.Sums, rng, unlimited, func(child RangeContent) { compare(to, from, child) })
 			return
 		}
-		lacking, wanted := to.Compare(content)
-		for _, e := range lacking {
-			checkFound(t, to == ours, onlyOurs, onlyTheirs, e.Hash(), e)
+		toSend, toRequest := to.Compare(content)
+		for _, e := range toSend {
+			checkFound(t, to == local, onlyLocal, onlyRemote, e.Hash(), e)
 		}
-		for _, hash := range wanted {
+		for _, hash := range toRequest {
 			for _, e := range from.Find(hash) {
-				checkFound(t, from == ours, onlyOurs, onlyTheirs, hash, e)
+				checkFound(t, from == local, onlyLocal, onlyRemote, hash, e)
 			}
 		}
 	}
-	compare(ours, theirs, RangeContent{Sums: ours.Sums(Range{})})
-	if len(onlyOurs) > 0 || len(onlyTheirs) > 0 {
-		t.Errorf("not found: %d of ours, %d of theirs", len(onlyOurs), len(onlyTheirs))
+	compare(local, remote, RangeContent{Sums: local.Sums(Range{})})
+	if len(onlyLocal) > 0 || len(onlyRemote) > 0 {
+		t.Errorf("not found: %d local and %d remote entries", len(onlyLocal), len(onlyRemote))
 	}
 }
 
-// checkFound checks off an entry that a comparison found in only one copy.
-func checkFound(t *testing.T, isOurs bool, onlyOurs map[testEntry]bool, onlyTheirs map[uint64]bool, hash uint64, e testEntry) {
+// checkFound checks that an entry found by a comparison is in only one of the copies,
+// and removes it from the entries that the comparison must still find.
+func checkFound(t *testing.T, isLocal bool, onlyLocal map[testEntry]bool, onlyRemote map[uint64]bool, hash uint64, e testEntry) {
 	t.Helper()
-	if isOurs != onlyOurs[e] || !isOurs != onlyTheirs[hash] {
-		t.Errorf("entry %d is found only in our copy: %v", e, isOurs)
+	if isLocal != onlyLocal[e] || !isLocal != onlyRemote[hash] {
+		t.Errorf("entry %d found (only in the local copy: %v), which is in both copies or found before", e, isLocal)
 	}
-	delete(onlyOurs, e)
-	delete(onlyTheirs, hash)
+	delete(onlyLocal, e)
+	delete(onlyRemote, hash)
 }
 
-// TestRemove checks that a removed entry leaves the tree as if it had never been
-// there, and that removing an absent one changes nothing.
+// TestRemove checks that the tree is the same after an entry was inserted and removed,
+// and that removing an absent entry changes nothing.
 func TestRemove(t *testing.T) {
 	tree := New[testEntry]()
 	tree.Insert(1)
@@ -75,11 +76,11 @@
 	tree.Remove(2)
 	tree.Remove(3)
 	if tree.Digest() != digest || len(tree.Find(testEntry(2).Hash())) != 0 || len(tree.Find(testEntry(1).Hash())) != 1 {
-		t.Errorf("digest %x, want %x", tree.Digest(), digest)
+		t.Errorf("after removal: digest %x, want %x, and only entry 1 found", tree.Digest(), digest)
 	}
 }
 
-// TestRangeValid checks the bounds of levels and indexes.
+// TestRangeValid checks the bounds of a range's level and index.
 func TestRangeValid(t *testing.T) {
 	cases := []struct {
 		name string
@@ -97,7 +98,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.r.Valid(); got != c.want {
-				t.Errorf("%+v: %v", c.r, got)
+				t.Errorf("%+v.Valid() = %v, want %v", c.r, got, c.want)
 			}
 		})
 	}
