--- a/control/action.go
+++ b/control/action.go
@@ -9,7 +9,7 @@
 	RejectRequest                    // RequestID, RetryAfterMS, Reason: it may safely be sent again
 	FailRequest                      // RequestID, Reason: an attempt may have run
 	CancelAttempt                    // RequestID, Attempt, Reason
-	SetTerms                         // RequestID, MemoryMB, Priority
+	SetResources                     // RequestID, MemoryMB, Priority
 	ProbeEngine                      // Engine
 	Broadcast                        // Message, to all other gateways
 	SetTimer                         // DelayMS, Timer
--- a/control/attempt.go
+++ b/control/attempt.go
@@ -65,7 +65,7 @@
 		g.recordSlowStartSend(r, e)
 	}
 	if g.settings.CanPrioritize && !isRetry && r.class.isDashboard {
-		g.act(Action{Kind: SetTerms, RequestID: r.id, Priority: dashboardPriority})
+		g.act(Action{Kind: SetResources, RequestID: r.id, Priority: dashboardPriority})
 	}
 	r.attempts = append(r.attempts, attempt{
 		engine:             e,
--- a/control/permissions_test.go
+++ b/control/permissions_test.go
@@ -17,7 +17,7 @@
 		{"probes", ProbeEngine, func(s *Settings) { s.CanProbe = false }},
 		{"probes without reports", ProbeEngine, func(s *Settings) { s.LoadReportsInProbes = false }},
 		{"gossip", Broadcast, func(s *Settings) { s.CanGossip = false }},
-		{"priorities", SetTerms, func(s *Settings) { s.CanPrioritize = false }},
+		{"priorities", SetResources, func(s *Settings) { s.CanPrioritize = false }},
 		{"cancels", CancelAttempt, func(s *Settings) { s.CanCancel = false }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/dispatch/decisions.go
+++ b/internal/dispatch/decisions.go
@@ -46,7 +46,7 @@
 			r.attempts[action.Attempt].cancelReason = action.Reason
 			d.cancelAttempt(r, action.Attempt)
 		}
-	case control.SetTerms:
+	case control.SetResources:
 		if r := d.requests[action.RequestID]; r != nil {
 			d.setPriority(r, action.Priority)
 		}
--- a/internal/dispatch/invariants_test.go
+++ b/internal/dispatch/invariants_test.go
@@ -95,7 +95,7 @@
 		{Kind: control.RejectRequest, RequestID: "unknown"},
 		{Kind: control.FailRequest, RequestID: "unknown"},
 		{Kind: control.CancelAttempt, RequestID: "unknown"},
-		{Kind: control.SetTerms, RequestID: "unknown"},
+		{Kind: control.SetResources, RequestID: "unknown"},
 	} {
 		d.perform(&action)
 		if len(d.effects) != 0 {
--- a/internal/simproto/compat_test.go
+++ b/internal/simproto/compat_test.go
@@ -101,7 +101,7 @@
 		{Kind: control.RejectRequest, RequestID: "r1"},
 		{Kind: control.FailRequest, RequestID: "r1"},
 		{Kind: control.CancelAttempt, RequestID: "r1", Attempt: 2},
-		{Kind: control.SetTerms, RequestID: "r1", MemoryMB: 64.5, Priority: 2},
+		{Kind: control.SetResources, RequestID: "r1", MemoryMB: 64.5, Priority: 2},
 		{Kind: control.ProbeEngine, Engine: "h:1"},
 		{Kind: control.Broadcast, Message: []byte{0x3f, 0x80, 0, 0}},
 		{Kind: control.SetTimer, DelayMS: 25, Timer: "sweep"},
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -28,7 +28,7 @@
 		line = appendHead(line, verbCancelAttempt, instance)
 		line = appendString(line, keyRequestID, action.RequestID)
 		line = appendNumber(line, keyAttempt, float64(action.Attempt))
-	case control.SetTerms:
+	case control.SetResources:
 		line = appendHead(line, verbSetTerms, instance)
 		line = appendString(line, keyRequestID, action.RequestID)
 		line = appendNumber(line, keyMemoryMB, action.MemoryMB)
--- a/internal/simproto/encode_test.go
+++ b/internal/simproto/encode_test.go
@@ -28,7 +28,7 @@
 			`{"t":"REVOKE","who":3,"ref":"r","sendNo":0}`,
 		},
 		{
-			control.Action{Kind: control.SetTerms, RequestID: "r", MemoryMB: 64, Priority: 2},
+			control.Action{Kind: control.SetResources, RequestID: "r", MemoryMB: 64, Priority: 2},
 			`{"t":"ALLOT","who":3,"ref":"r","memoryGrant":64,"lane":2}`,
 		},
 		{
