--- a/control/affinity.go
+++ b/control/affinity.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	preferredPooledEngines = 2    // of a data set: a third does not stay warm
-	restrictedEngineWeight = 0.2  // part of their loads that engines get which some class is restricted to
-	maxDatasets            = 4096 // for which something is cached, as a client may name any number
+	preferredEnginesSharedLimit = 2    // of a data set: a third does not stay warm
+	restrictedEngineWeight      = 0.2  // factor on the weight of an engine that some class is restricted to
+	maxDatasets                 = 4096 // for which something is cached, as a client may name any number
 )
 
 // engineAffinity orders engines by data set.
@@ -67,7 +67,7 @@
 	list := slices.DeleteFunc(slices.Clone(g.engines), func(e *engine) bool { return !e.listing.available })
 	size := 1
 	if len(list) > 0 && list[0].sharesThreadLimit {
-		size = preferredPooledEngines
+		size = preferredEnginesSharedLimit
 	}
 	slices.SortFunc(list, func(a, b *engine) int {
 		return cmp.Compare(b.affinityScore(dataset), a.affinityScore(dataset))
--- a/control/affinity_test.go
+++ b/control/affinity_test.go
@@ -18,9 +18,9 @@
 	for _, a := range tr.starts {
 		used[a.Engine] = true
 	}
-	if len(tr.starts) < 40 || len(used) > preferredPooledEngines {
+	if len(tr.starts) < 40 || len(used) > preferredEnginesSharedLimit {
 		t.Errorf("%d readers of one data set on %d engines, want at most %d", len(tr.starts), len(used),
-			preferredPooledEngines)
+			preferredEnginesSharedLimit)
 	}
 }
 
--- a/control/attempt.go
+++ b/control/attempt.go
@@ -3,9 +3,9 @@
 import "slices"
 
 const (
-	lightThreadsPerCore = 0.25 // of this gateway up to which a dashboard counts as one at light load
-	dashboardPriority   = 3    // the highest; other work keeps the engine's usual 1
-	idempotencyTicks    = 2    // by which an idempotency window is taken shorter
+	lightLoadThreadsPerCore = 0.25 // of this gateway up to which a dashboard counts as one at light load
+	dashboardPriority       = 3    // the highest; other work keeps the engine's usual 1
+	idempotencyMarginTicks  = 2    // by which an idempotency window is taken shorter
 )
 
 // mayStart reports whether the rules let an attempt of the request start on the
@@ -17,30 +17,30 @@
 	if !g.settings.CanHedge && r.inFlight() > 0 {
 		return false
 	}
-	if !g.mayRetry(r) || !g.repeatIsDropped(r, e) || !g.keys.mayRun(r, g.nowMS) {
+	if !g.mayRetry(r) || !g.repeatIsDeduplicated(r, e) || !g.keys.mayRun(r, g.nowMS) {
 		return false
 	}
 	return !g.inSlowStart(e) || g.slowStartAdmits(r, e)
 }
 
-// repeatIsDropped reports whether the engine would drop a repeat of each attempt
+// repeatIsDeduplicated reports whether the engine would drop a repeat of each attempt
 // that may have run, if the class relies on that.
-func (g *Gateway) repeatIsDropped(r *request, e *engine) bool {
+func (g *Gateway) repeatIsDeduplicated(r *request, e *engine) bool {
 	if r.class.Idempotency != IdempotentWithKey {
 		return true
 	}
 	return !slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		return !a.neverRan &&
-			(g.idempotencyWindowOver(r, &a) || !inScope(r.class.IdempotencyScope, a.engine, e))
+			(g.idempotencyWindowExpired(r, &a) || !sameKeyScope(r.class.IdempotencyScope, a.engine, e))
 	})
 }
 
-func (g *Gateway) idempotencyWindowOver(r *request, a *attempt) bool {
-	return g.nowMS > a.startedAtMS+r.class.IdempotencyWindowMS-idempotencyTicks*g.settings.TickMS
+func (g *Gateway) idempotencyWindowExpired(r *request, a *attempt) bool {
+	return g.nowMS > a.startedAtMS+r.class.IdempotencyWindowMS-idempotencyMarginTicks*g.settings.TickMS
 }
 
-// inScope reports whether two engines share the memory of idempotency keys.
-func inScope(scope IdempotencyScope, a, b *engine) bool {
+// sameKeyScope reports whether two engines share the memory of idempotency keys.
+func sameKeyScope(scope IdempotencyScope, a, b *engine) bool {
 	switch scope {
 	case SameZone:
 		return a.Zone == b.Zone
@@ -71,7 +71,7 @@
 		engine:             e,
 		startedAtMS:        g.nowMS,
 		inFlight:           true,
-		startedAtLightLoad: float64(e.load.threads()) <= lightThreadsPerCore*e.cores,
+		startedAtLightLoad: float64(e.load.threads()) <= lightLoadThreadsPerCore*e.cores,
 	})
 	e.addThreads(r.class, r.class.Threads)
 	e.load.threadsSinceReport += float64(r.class.Threads)
@@ -125,12 +125,12 @@
 		g.keys.settling[r.key] = keySettling{g.nowMS + g.settings.KeySettleMS, r}
 	}
 	if ev.Result == Served && ev.RequestDone {
-		g.earnings.sinceSweep += g.weightAfter(r, 0)
+		g.servedWeight.sinceSweep += g.weightIfServedAfter(r, 0)
 	}
 	g.learnFromOutcome(r, a, ev)
 	g.recordOutcome(a.engine, ev.Result)
 	if ev.Result == Served {
-		g.blameErrors(r)
+		g.countErrorsAsFailures(r)
 	}
 	if !r.closed && r.inFlight() == 0 {
 		g.retryOrEnd(r)
@@ -152,10 +152,10 @@
 	g.demand.LoadsChanged()
 }
 
-// blameErrors counts the errors of a request's earlier attempts as failures of
+// countErrorsAsFailures counts the errors of a request's earlier attempts as failures of
 // their engines, once another has served it. Otherwise a client that sends what
 // no engine can run would have all of them ejected.
-func (g *Gateway) blameErrors(r *request) {
+func (g *Gateway) countErrorsAsFailures(r *request) {
 	for _, a := range r.attempts {
 		if a.errored {
 			g.recordOutcome(a.engine, Reset)
@@ -184,7 +184,7 @@
 	}
 	r.closed = true
 	answer := Action{Kind: FailRequest, RequestID: r.id, Reason: reason}
-	if r.mayBeSentAgain() {
+	if r.isSafeToResend() {
 		answer.Kind = RejectRequest
 		if g.settings.SendsRetryAfter {
 			answer.RetryAfterMS = min(g.settings.MaxRetryAfterMS, retryAfterMS)
@@ -193,9 +193,9 @@
 	g.act(answer)
 }
 
-// mayBeSentAgain reports whether a client may safely send the request again, to
+// isSafeToResend reports whether a client may safely send the request again, to
 // any gateway.
-func (r *request) mayBeSentAgain() bool {
+func (r *request) isSafeToResend() bool {
 	if !r.mayHaveRun() {
 		return true
 	}
--- a/control/attempt_test.go
+++ b/control/attempt_test.go
@@ -42,7 +42,7 @@
 
 // Without hedging no request has two attempts in flight; a request with an
 // idempotency key is not repeated once its window may be over.
-func TestRepeatsAreBarred(t *testing.T) {
+func TestForbiddenRepeatsDoNotStart(t *testing.T) {
 	tr := newScenario(t, oneGateway(), engines("a", "b")...)
 	tr.arrive("r", 0, 50, 9000)
 	r, b := tr.gateway.requestByID["r"], tr.gateway.engineByID["b"]
--- a/control/gateway.go
+++ b/control/gateway.go
@@ -45,7 +45,7 @@
 	keys         keyOrder
 	nextSequence int
 	retryBudget  retryBudget
-	earnings     earnings
+	servedWeight servedWeight
 
 	demand *demand.Ledger // of this gateway and its peers
 
@@ -91,7 +91,7 @@
 		return g.actions
 	}
 	g.apply(ev)
-	g.releaseQueue()
+	g.startQueued()
 	g.broadcastIfDue(false)
 	return g.actions
 }
@@ -181,7 +181,7 @@
 	maps.DeleteFunc(g.keys.settling, func(_ string, s keySettling) bool { return s.untilMS < g.nowMS })
 	g.expireRetryBudget()
 	g.openRequests = slices.DeleteFunc(g.openRequests, func(r *request) bool { return !g.supervise(r) })
-	g.earnings.update()
+	g.servedWeight.update()
 	g.shedQueue()
 	g.shedOpenRequests()
 }
--- a/control/health_test.go
+++ b/control/health_test.go
@@ -185,7 +185,7 @@
 				msg = binary.BigEndian.AppendUint32(msg, x)
 			}
 		}
-		for i := range 3 * intervalDashboards {
+		for i := range 3 * dashboardsPerInterval {
 			tr.handle(Event{Kind: GossipReceived, Peer: 1, Message: msg})
 			id := fmt.Sprint("r", i)
 			tr.handle(Event{Kind: RequestArrived, RequestID: id, Class: 0, DeadlineAtMS: tr.nowMS + 2000,
--- a/control/permissions_test.go
+++ b/control/permissions_test.go
@@ -8,7 +8,7 @@
 // Where the settings don't allow it, no engine is probed, no peer is told anything, no
 // priority is set and no attempt is cancelled; where they do, each of these is done in the
 // same scenario.
-func TestOnlyWhatTheSettingsAllow(t *testing.T) {
+func TestForbiddenActionsAreNotIssued(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		action ActionKind
@@ -52,7 +52,7 @@
 
 // A load report that comes although the settings have none is used: what an engine says of
 // itself is true. (TestRunawayAttemptIsRetried has the same of a note.)
-func TestReportsThatComeAreUsed(t *testing.T) {
+func TestUnannouncedLoadReportsAreUsed(t *testing.T) {
 	s := oneGateway()
 	if s.LoadReportsInAnswers || s.LoadReportsInProbes {
 		t.Fatal("the settings have load reports")
--- a/control/queue.go
+++ b/control/queue.go
@@ -53,9 +53,9 @@
 	g.queue = slices.Insert(g.queue, i, r)
 }
 
-// releaseQueue starts attempts of the queued requests that an engine takes, in
+// startQueued starts attempts of the queued requests that an engine takes, in
 // order of arrival. Those that none takes now keep their place and are passed.
-func (g *Gateway) releaseQueue() {
+func (g *Gateway) startQueued() {
 	g.queue = slices.DeleteFunc(g.queue, func(r *request) bool {
 		r.queued = !r.closed && (r.clientDisconnected || !g.startAttempt(r, g.engineFor(r)))
 		return !r.queued
@@ -67,5 +67,5 @@
 	if r.class.isDashboard {
 		return g.engineForDashboard(r)
 	}
-	return g.engineForQueued(r)
+	return g.engineForSecondary(r)
 }
--- a/control/request.go
+++ b/control/request.go
@@ -89,8 +89,8 @@
 	g.demand.RecordDemand(secondaryWorkMS, r.tenant)
 }
 
-// forget drops a request that is closed and has nothing in flight.
-func (g *Gateway) forget(r *request) {
+// unregister drops a request that is closed and has nothing in flight.
+func (g *Gateway) unregister(r *request) {
 	delete(g.requestByID, r.id)
 	g.keys.remove(r)
 }
--- a/control/routing.go
+++ b/control/routing.go
@@ -8,14 +8,14 @@
 const (
 	// A load report guides dashboards for longer than it proves headroom: they take
 	// little capacity.
-	guidingReportMS = 3000.0
+	routingReportMaxAgeMS = 3000.0
 
 	nonPreferredCost = 0.75 // threads a core by which a preferred engine may be fuller
 
 	// Parts of the engines that may run a load of a data set: its readers need others.
-	loadedFraction       = 0.5
-	urgentLoadedFraction = 0.8 // for loads that have little time left:
-	urgentDurations      = 2.0 // this many times their expected duration
+	maxLoadingFraction       = 0.5
+	maxUrgentLoadingFraction = 0.8 // for loads that have little time left:
+	urgentDurations          = 2.0 // this many times their expected duration
 )
 
 // separation says how well a choice of engine keeps the loads of a data set apart
@@ -58,25 +58,25 @@
 		}
 		threads := float64(e.load.threads() + r.class.Threads)
 		if e.sharesThreadLimit {
-			threads += g.otherThreads(e)
+			threads += g.otherGatewaysThreads(e)
 		}
 		return threads / g.effectiveCores(e)
 	})
 }
 
-// otherThreads estimates what other gateways run on an engine.
-func (g *Gateway) otherThreads(e *engine) float64 {
-	if g.nowMS-e.load.reportedAtMS < guidingReportMS {
+// otherGatewaysThreads estimates what other gateways run on an engine.
+func (g *Gateway) otherGatewaysThreads(e *engine) float64 {
+	if g.nowMS-e.load.reportedAtMS < routingReportMaxAgeMS {
 		return e.load.reportedThreads + e.load.threadsSinceReport
 	}
 	return e.cores
 }
 
-// engineForQueued returns the engine with most headroom under its thread limit for
+// engineForSecondary returns the engine with most headroom under its thread limit for
 // secondary work, nil if none has any. The request may pass the limit of an
 // engine with a single thread of headroom.
-func (g *Gateway) engineForQueued(r *request) *engine {
-	overshootSpent := g.overshootIsSpent(r)
+func (g *Gateway) engineForSecondary(r *request) *engine {
+	overshootExhausted := g.overshootExhausted(r)
 	e := g.choose(r, func(e *engine) float64 {
 		if e.sharesThreadLimit {
 			headroom := g.sharedHeadroom(e)
@@ -87,7 +87,7 @@
 			return -headroom / e.cores
 		}
 		headroom := float64(e.limit.threads - e.load.secondaryThreads)
-		if headroom < 1 || overshootSpent {
+		if headroom < 1 || overshootExhausted {
 			e.limit.interval.demandUnmet = true
 			return math.Inf(1)
 		}
@@ -99,11 +99,11 @@
 	return e
 }
 
-// overshootIsSpent reports whether this gateway's threads on all engines with
+// overshootExhausted reports whether this gateway's threads on all engines with
 // limits of their own reach the sum of these limits, unrounded, and its part of
 // one overshoot an engine. Without it many gateways could pass the limits of all
 // engines at once.
-func (g *Gateway) overshootIsSpent(r *request) bool {
+func (g *Gateway) overshootExhausted(r *request) bool {
 	threads, limits := 0.0, 0.0
 	for _, e := range g.engines {
 		if e.sharesThreadLimit || !e.listing.available || !r.class.allows(&e.EngineInfo) {
@@ -120,7 +120,7 @@
 // drawn: gateways with one list must not all go to the same.
 func (g *Gateway) choose(r *request, cost func(*engine) float64) *engine {
 	ranking := g.newRanking(r)
-	selectable, loaded := 0.0, 0.0
+	selectable, loading := 0.0, 0.0
 	var best *engine
 	bestRank := worstRank
 	ties := 0
@@ -130,7 +130,7 @@
 		}
 		selectable++
 		if g.runsLoad(e, r.dataset) {
-			loaded++
+			loading++
 		}
 		engineCost := cost(e)
 		if math.IsInf(engineCost, 1) || math.IsNaN(engineCost) {
@@ -148,7 +148,7 @@
 			}
 		}
 	}
-	if best == nil || g.shouldWait(r, best, selectable, loaded) {
+	if best == nil || g.shouldWait(r, best, selectable, loading) {
 		return nil
 	}
 	return best
@@ -156,17 +156,17 @@
 
 // ranking ranks engines for one request.
 type ranking struct {
-	gateway        *Gateway
-	request        *request
-	separates      bool      // the request is a load, or blocked by loads
-	loadsPreferred []*engine // by the loads of its data set, if it separates
-	preferred      []*engine // by its data set and class
+	gateway          *Gateway
+	request          *request
+	separates        bool      // the request is a load, or blocked by loads
+	preferredByLoads []*engine // by the loads of its data set, if it separates
+	preferred        []*engine // by its data set and class
 }
 
 func (g *Gateway) newRanking(r *request) ranking {
 	k := ranking{gateway: g, request: r, separates: r.class.BlockedByLoads || r.class.IsLoad}
 	if k.separates {
-		k.loadsPreferred = g.preferred(r.dataset, nil)
+		k.preferredByLoads = g.preferred(r.dataset, nil)
 	}
 	k.preferred = g.preferred(r.dataset, r.class)
 	return k
@@ -192,7 +192,7 @@
 	switch {
 	case k.separates && k.gateway.runsLoad(e, r.dataset):
 		return behindLoad
-	case slices.Contains(k.loadsPreferred, e) != r.class.IsLoad:
+	case slices.Contains(k.preferredByLoads, e) != r.class.IsLoad:
 		return mixed
 	default:
 		return separate
@@ -204,15 +204,15 @@
 // would leave too few engines without one. Otherwise loads of a few data sets
 // spread until readers are blocked everywhere, and hold the threads of others.
 // A load that has little time left may go to more engines.
-func (g *Gateway) shouldWait(r *request, e *engine, selectable, loaded float64) bool {
+func (g *Gateway) shouldWait(r *request, e *engine, selectable, loading float64) bool {
 	if !r.class.IsLoad {
-		return r.class.BlockedByLoads && loaded < selectable && g.runsLoad(e, r.dataset)
+		return r.class.BlockedByLoads && loading < selectable && g.runsLoad(e, r.dataset)
 	}
-	fraction := loadedFraction
+	fraction := maxLoadingFraction
 	if g.nowMS+urgentDurations*g.expectedDurationMS(r) > g.objectiveAtMS(r) {
-		fraction = urgentLoadedFraction
+		fraction = maxUrgentLoadingFraction
 	}
-	return loaded > 0 && loaded+1 > selectable*fraction
+	return loading > 0 && loading+1 > selectable*fraction
 }
 
 // selectable reports whether the engine may be chosen for a request. One that is
--- a/control/shedding.go
+++ b/control/shedding.go
@@ -9,20 +9,20 @@
 	targetOpenFraction   = 0.85  // part of MaxOpenRequests above which some requests are ended
 	criticalOpenFraction = 0.97  // and above which that does not wait for the next sweep
 	retryAfterMS         = 100.0 // advice to rejected clients: sweeps find capacity well within it
-	earningsWindowMS     = 1000.0
+	servedWeightWindowMS = 1000.0
 	minRequestsPerSecond = 1e-9 // of a tenant, as a divisor
 )
 
-// earnings is the priority weight that is earned by answers.
-type earnings struct {
+// servedWeight is the priority weight that is earned by answers.
+type servedWeight struct {
 	sinceSweep float64
 	perMS      float64 // averaged
 }
 
-// update averages the earnings, once a sweep.
-func (e *earnings) update() {
-	e.perMS += (e.sinceSweep/sweepIntervalMS - e.perMS) * sweepIntervalMS / earningsWindowMS
-	e.sinceSweep = 0
+// update averages the served weight, once a sweep.
+func (w *servedWeight) update() {
+	w.perMS += (w.sinceSweep/sweepIntervalMS - w.perMS) * sweepIntervalMS / servedWeightWindowMS
+	w.sinceSweep = 0
 }
 
 // shedQueue rejects secondary work that can't be done in time.
@@ -120,8 +120,8 @@
 	return max(threads, float64(r.class.Threads))
 }
 
-// weightAfter is what a response earns after a further time.
-func (g *Gateway) weightAfter(r *request, afterMS float64) float64 {
+// weightIfServedAfter is what a response earns after a further time.
+func (g *Gateway) weightIfServedAfter(r *request, afterMS float64) float64 {
 	if g.nowMS+afterMS > g.objectiveAtMS(r) {
 		return r.class.PriorityWeight * r.class.LateWeight
 	}
@@ -183,7 +183,7 @@
 // many are open. A response that has begun and work in flight that must not be
 // repeated are left alone.
 func (g *Gateway) shedCandidates() (candidates []shedCandidate, openCount int) {
-	meanPerMS := g.earnings.perMS / float64(g.settings.MaxOpenRequests)
+	meanPerMS := g.servedWeight.perMS / float64(g.settings.MaxOpenRequests)
 	for _, r := range g.openRequests {
 		if r.closed {
 			continue
@@ -193,7 +193,7 @@
 			continue
 		}
 		remainingMS := g.remainingOpenMS(r)
-		weightPerMS := g.weightAfter(r, remainingMS) / max(1, remainingMS)
+		weightPerMS := g.weightIfServedAfter(r, remainingMS) / max(1, remainingMS)
 		if weightPerMS < meanPerMS {
 			candidates = append(candidates, shedCandidate{r, weightPerMS})
 		}
--- a/control/shedding_test.go
+++ b/control/shedding_test.go
@@ -74,9 +74,9 @@
 		tr.handle(Event{Kind: RequestArrived, RequestID: fmt.Sprint(i), Tenant: 0,
 			DeadlineAtMS: tr.nowMS + 2000, WorkMS: 50})
 	}
-	over, in := &request{class: &tr.gateway.classes[1], estimatedWorkMS: 100,
+	over, within := &request{class: &tr.gateway.classes[1], estimatedWorkMS: 100,
 		tenant: 0}, &request{class: &tr.gateway.classes[1], estimatedWorkMS: 300, tenant: 1}
-	if tr.gateway.weightPerWork(over) >= tr.gateway.weightPerWork(in) {
+	if tr.gateway.weightPerWork(over) >= tr.gateway.weightPerWork(within) {
 		t.Error("work over its tenant's quota weighs more than work within")
 	}
 }
@@ -94,13 +94,13 @@
 		settings.MaxOpenRequests = maxOpen
 		g := New(settings, 1)
 		g.Handle(0, Event{Kind: EndpointSnapshot, Engines: []EngineInfo{{ID: "a"}, {ID: "b"}}})
-		out := map[string]int{}
+		attemptCounts := map[string]int{}
 		ended := map[string]bool{}
-		do := func(now float64, ev Event) {
+		handle := func(now float64, ev Event) {
 			for _, a := range g.Handle(now, ev) {
 				switch a.Kind {
 				case StartAttempt:
-					out[a.RequestID]++
+					attemptCounts[a.RequestID]++
 				case RejectRequest, FailRequest:
 					ended[a.RequestID] = true
 				default:
@@ -112,16 +112,16 @@
 			if i%9 == 0 {
 				class = 1
 			}
-			do(float64(i), Event{Kind: RequestArrived, RequestID: fmt.Sprint(i), Class: class,
+			handle(float64(i), Event{Kind: RequestArrived, RequestID: fmt.Sprint(i), Class: class,
 				DeadlineAtMS: 9000, WorkMS: 50, Dataset: i})
 		}
 		// Some are answered, so that open requests have earned something.
 		for i := 1; i < 9; i++ {
-			do(110, Event{Kind: AttemptEnded, RequestID: fmt.Sprint(i), Result: Served, ElapsedMS: 90,
+			handle(110, Event{Kind: AttemptEnded, RequestID: fmt.Sprint(i), Result: Served, ElapsedMS: 90,
 				RequestDone: true})
 		}
 		for now := 125.0; now < 700; now += 25 {
-			do(now, Event{Kind: TimerFired, Timer: SweepTimer})
+			handle(now, Event{Kind: TimerFired, Timer: SweepTimer})
 		}
 		want := 0
 		if maxOpen > 0 {
@@ -131,7 +131,7 @@
 			t.Errorf("limit %d: %d requests ended, want %d", maxOpen, len(ended), want)
 		}
 		for id := range ended {
-			if i, _ := strconv.Atoi(id); i%9 == 0 && out[id] > 0 {
+			if i, _ := strconv.Atoi(id); i%9 == 0 && attemptCounts[id] > 0 {
 				t.Errorf("request %s was ended though it is in flight and not idempotent", id)
 			}
 		}
@@ -154,7 +154,7 @@
 
 // Where there are tenants, a request of none of them weighs as one over its quota;
 // where there are none, all weigh in full.
-func TestRequestOfNoTenantWeighsAsOverQuota(t *testing.T) {
+func TestRequestWithoutTenantWeighsAsOverQuota(t *testing.T) {
 	cases := []struct {
 		name    string
 		tenants []Tenant
--- a/control/supervision.go
+++ b/control/supervision.go
@@ -13,7 +13,7 @@
 	runawayGraceMS     = 100.0 // past each limit before it counts
 
 	runawayDeviations     = 4   // mean deviations over the mean, as a transport judges a lost packet
-	runawayRemaining      = 1.5 // expected durations that it still needs for a retry to pay
+	minRunawayRemaining   = 1.5 // expected durations that it still needs for a retry to pay
 	minRemainingDivisor   = 10  // of the expected duration: an attempt has so much left at the least
 	missedStatusIntervals = 2.5 // in a row, after which the response to an attempt counts as lost
 )
@@ -41,13 +41,13 @@
 		timing := attemptTiming{ageMS: g.nowMS - a.startedAtMS, expectedMS: g.expectedDurationMS(r)}
 		g.observeAttempt(r, a, timing)
 		if !r.closed && !a.cancelled && !r.streaming && g.settings.CanCancel && !g.wasPaused() {
-			g.cancelIfHopeless(r, i, timing)
+			g.cancelIfNotWorthwhile(r, i, timing)
 		}
 	}
 	if !r.closed || r.inFlight() > 0 {
 		return true
 	}
-	g.forget(r)
+	g.unregister(r)
 	return false
 }
 
@@ -74,15 +74,15 @@
 	// A single one may only have lost its response.
 	health := &a.engine.health
 	health.unresponsiveDashboards++
-	certain := timing.ageMS > timeoutMS+r.class.LatencyObjectiveMS
-	if certain || health.unresponsiveDashboards >= failuresToEject {
+	confirmed := timing.ageMS > timeoutMS+r.class.LatencyObjectiveMS
+	if confirmed || health.unresponsiveDashboards >= failuresToEject {
 		g.eject(a.engine, UnresponsiveEngine)
 	}
 }
 
-// cancelIfHopeless cancels an attempt that holds threads for too little, or that
+// cancelIfNotWorthwhile cancels an attempt that holds threads for too little, or that
 // another attempt would overtake.
-func (g *Gateway) cancelIfHopeless(r *request, index int, timing attemptTiming) {
+func (g *Gateway) cancelIfNotWorthwhile(r *request, index int, timing attemptTiming) {
 	a := &r.attempts[index]
 	switch {
 	case g.isLateAtLimit(r, a) || g.shouldYieldThreads(r, timing):
@@ -118,8 +118,8 @@
 		return false
 	}
 	health := &a.engine.health
-	unheard := health.lastResponseAtMS < a.startedAtMS
-	if unheard && g.isEjected(a.engine) && a.startedAtMS < health.ejectedUntilMS {
+	unresponsive := health.lastResponseAtMS < a.startedAtMS
+	if unresponsive && g.isEjected(a.engine) && a.startedAtMS < health.ejectedUntilMS {
 		return true
 	}
 	if r.class.isDashboard {
@@ -148,5 +148,5 @@
 		remainingMS = totalMS - timing.ageMS
 	}
 	return totalMS > factor*timing.expectedMS+runawayGraceMS &&
-		remainingMS > timing.expectedMS*runawayRemaining
+		remainingMS > timing.expectedMS*minRunawayRemaining
 }
--- a/control/supervision_test.go
+++ b/control/supervision_test.go
@@ -33,8 +33,8 @@
 	for _, followed := range []bool{true, false} {
 		tr := newScenario(t, s, engines("a", "b", "c", "d")...)
 		tr.arrive("first", 2, 500, 19000)
-		lasts := tr.gateway.expectedDurationMS(tr.gateway.requestByID["first"])
-		tr.advance(lostResponseFactor*lasts - 2*sweepIntervalMS)
+		expectedMS := tr.gateway.expectedDurationMS(tr.gateway.requestByID["first"])
+		tr.advance(lostResponseFactor*expectedMS - 2*sweepIntervalMS)
 		if followed {
 			tr.arrive("second", 2, 500, 19000)
 		}
--- a/control/threadlimit.go
+++ b/control/threadlimit.go
@@ -7,8 +7,8 @@
 	// secondary threads a dashboard stands beside.
 	dashboardNeighbors = 3.0
 
-	intervalDashboards = 10     // that close a control interval
-	maxIntervalMS      = 5000.0 // after which an interval closes with what it has
+	dashboardsPerInterval = 10     // that close a control interval
+	maxIntervalMS         = 5000.0 // after which an interval closes with what it has
 
 	// Past this many secondary threads a core, of all gateways, engines spill,
 	// thrash and do less.
@@ -19,7 +19,7 @@
 	evenQuotaSlack   = 2.5 // where no demand is gossiped and some gateways have several times the mean
 
 	minDemandQuotaFraction = 0.5   // of an even quota
-	freshReportMS          = 500.0 // how long a load report proves headroom
+	headroomReportMaxAgeMS = 500.0 // how long a load report proves headroom
 
 	objectiveUtilization  = 0.6 // part of the dashboards done within an objective that may be in flight
 	burstDeviations       = 1.0 // over that limit where it is a few threads a gateway
@@ -107,7 +107,7 @@
 // millisecond. R is the latency of dashboards at light load.
 func (g *Gateway) integralGain(e *engine) float64 {
 	latencyMS := g.estimates.shortestObjectiveMS
-	if e.lightLoadLatencyMS.count >= intervalDashboards {
+	if e.lightLoadLatencyMS.count >= dashboardsPerInterval {
 		latencyMS = min(latencyMS, e.lightLoadLatencyMS.value)
 	}
 	return e.cores / (max(latencyMS, 1) * dashboardNeighbors)
@@ -128,7 +128,7 @@
 	if a.startedAtLightLoad {
 		g.recordLightLoadLatency(e, latencyMS)
 	}
-	if interval.samples >= intervalDashboards {
+	if interval.samples >= dashboardsPerInterval {
 		g.closeControlInterval(e)
 	}
 }
@@ -183,7 +183,7 @@
 // its last load report and what this gateway started since: none without a fresh
 // report.
 func (g *Gateway) sharedHeadroom(e *engine) float64 {
-	if g.nowMS-e.load.reportedAtMS > freshReportMS {
+	if g.nowMS-e.load.reportedAtMS > headroomReportMaxAgeMS {
 		return 0
 	}
 	limit := float64(e.limit.threads) * g.effectiveCores(e) / e.cores
--- a/control/threadlimit_test.go
+++ b/control/threadlimit_test.go
@@ -79,7 +79,7 @@
 func TestControlIntervalClosesByCountAndTime(t *testing.T) {
 	tr := newScenario(t, oneGateway(), engines("a")...)
 	e := tr.gateway.engineByID["a"]
-	for i := range intervalDashboards {
+	for i := range dashboardsPerInterval {
 		tr.arrive(fmt.Sprint(i), 0, 100, 2000)
 		tr.advance(100)
 		if e.limit.interval.samples != i {
@@ -88,7 +88,7 @@
 		tr.endAttempt(fmt.Sprint(i), Served)
 	}
 	if e.limit.interval.samples != 0 {
-		t.Error("interval still open after intervalDashboards")
+		t.Error("interval still open after dashboardsPerInterval")
 	}
 	since := e.limit.interval.startedAtMS
 	tr.advance(maxIntervalMS + 100)
