--- a/control/affinity.go
+++ b/control/affinity.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	preferredEnginesSharedLimit = 2    // of a data set: a third does not stay warm
+	preferredEnginesSharedLimit = 2    // per data set; on a third engine its data would not stay cached
 	restrictedEngineWeight      = 0.2  // factor on the weight of an engine that some class is restricted to
-	maxDatasets                 = 4096 // for which something is cached, as a client may name any number
+	maxDatasets                 = 4096 // with cached values: clients may name any number of data sets
 )
 
-// engineAffinity orders engines by data set.
+// engineAffinity ranks an engine for each data set.
 type engineAffinity struct {
 	weight float64
 	scores map[int]float64 // by data set, cached
 }
 
-// preferenceKey names whose preferred engines are meant.
+// preferenceKey identifies a list of preferred engines.
 type preferenceKey struct {
 	dataset int
 	class   *class // nil: loads
 }
 
-// newAffinity returns the affinity of a new engine, by its cores. Engines that some
-// class is restricted to get fewer loads, for its sake.
+// newAffinity returns the affinity of a new engine, weighted by its cores. An engine that
+// some class is restricted to gets fewer loads, which leaves more of it to that class.
 func (g *Gateway) newAffinity(info EngineInfo, cores float64) engineAffinity {
 	weight := cores
 	restricted := func(c class) bool { return c.isRestricted() && c.allows(&info) }
@@ -38,8 +38,8 @@
 	return engineAffinity{weight: weight, scores: map[int]float64{}}
 }
 
-// affinityScore orders engines for a data set, alike at every gateway: weighted
-// rendezvous hashing.
+// affinityScore ranks engines for a data set by weighted rendezvous hashing. All gateways
+// compute the same scores.
 func (e *engine) affinityScore(dataset int) float64 {
 	if score, ok := e.affinity.scores[dataset]; ok {
 		return score
@@ -50,12 +50,12 @@
 	return e.affinity.scores[dataset]
 }
 
-// preferred returns the engines that a data set's loads go to first, or those
-// that its readers of a class do.
+// preferred returns the engines that loads of a data set go to first, or, if c is not
+// nil, those that requests of class c prefer when they read the data set.
 //
-// Readers that a load would block stay away from the preferred engines of loads.
-// Readers have preferred engines too, where engines share a thread limit: an engine
-// keeps few data sets warm, and spread over all, each is read from disk anew.
+// Requests that a load would block avoid the engines that loads prefer. Readers have
+// preferred engines too where engines share a thread limit: an engine caches few data
+// sets, and reads spread over all engines would fetch each data set from disk again.
 func (g *Gateway) preferred(dataset int, c *class) []*engine {
 	if c != nil && c.IsLoad {
 		c = nil
@@ -83,17 +83,17 @@
 	return g.preferredEngines[key]
 }
 
-// boundCache empties what is cached by data set where it has grown too large.
+// boundCache clears a cache by data set that has reached its largest size.
 func boundCache[K comparable, V any](cache map[K]V) {
 	if len(cache) >= maxDatasets {
 		clear(cache)
 	}
 }
 
-// hash returns a number for an engine's id and one more number, the same at every
+// hash returns a hash of an engine's id and another number. It is the same on every
 // gateway.
 func hash(id string, x float64) uint64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprint(h, x, id) // a hash takes every write
+	_, _ = fmt.Fprint(h, x, id) // writes to a hash never fail
 	return h.Sum64()
 }
--- a/control/affinity_test.go
+++ b/control/affinity_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Readers of a data set keep to few engines where gateways share thread limits.
+// Requests that read one data set go to few engines where gateways share thread limits.
 func TestReadersKeepToPreferredEngines(t *testing.T) {
 	tr := newScenario(t, manyGateways(), engines("a", "b", "c", "d", "e", "f", "g", "h", "i")...)
 	for i := range 40 {
@@ -19,12 +19,12 @@
 		used[a.Engine] = true
 	}
 	if len(tr.starts) < 40 || len(used) > preferredEnginesSharedLimit {
-		t.Errorf("%d readers of one data set on %d engines, want at most %d", len(tr.starts), len(used),
-			preferredEnginesSharedLimit)
+		t.Errorf("%d readers of one data set on %d engines, want at least 40 on at most %d",
+			len(tr.starts), len(used), preferredEnginesSharedLimit)
 	}
 }
 
-// Loads mostly go to other engines than those which a class is restricted to.
+// Loads go mostly to engines that no class is restricted to.
 func TestLoadsAvoidEnginesOfRestrictedClasses(t *testing.T) {
 	tr := newScenario(t, twoEngineKinds(), EngineInfo{ID: "s1"}, EngineInfo{ID: "s2"}, EngineInfo{ID: "s3"},
 		EngineInfo{ID: "b", Kind: 1})
@@ -34,8 +34,9 @@
 			unrestricted++
 		}
 	}
-	// By cores alone it would be 16 of 40; at a fifth for the others, 16 of 20.8.
+	// By cores alone the share would be 16 of 40; with the other engines at a fifth, 16 of 20.8.
 	if unrestricted < 60 {
-		t.Errorf("%d of 100 data sets prefer the engine that no class is restricted to", unrestricted)
+		t.Errorf("%d of 100 data sets prefer the engine that no class is restricted to, want at least 60",
+			unrestricted)
 	}
 }
--- a/control/attempt.go
+++ b/control/attempt.go
@@ -3,12 +3,12 @@
 import "slices"
 
 const (
-	lightLoadThreadsPerCore = 0.25 // of this gateway up to which a dashboard counts as one at light load
-	dashboardPriority       = 3    // the highest; other work keeps the engine's usual 1
-	idempotencyMarginTicks  = 2    // by which an idempotency window is taken shorter
+	lightLoadThreadsPerCore = 0.25 // threads of this gateway up to which an engine counts as lightly loaded
+	dashboardPriority       = 3    // the highest; other work keeps the engine's default priority of 1
+	idempotencyMarginTicks  = 2    // ticks by which idempotency windows are shortened as a safety margin
 )
 
-// mayStart reports whether the rules let an attempt of the request start on the
+// mayStart reports whether the rules allow an attempt of the request to start on the
 // engine now.
 func (g *Gateway) mayStart(r *request, e *engine) bool {
 	if !e.listing.available || !r.class.allows(&e.EngineInfo) || g.nowMS >= r.deadlineAtMS {
@@ -23,8 +23,9 @@
 	return !g.inSlowStart(e) || g.slowStartAdmits(r, e)
 }
 
-// repeatIsDeduplicated reports whether the engine would drop a repeat of each attempt
-// that may have run, if the class relies on that.
+// repeatIsDeduplicated reports whether the engine would drop a repeat of every
+// earlier attempt that may have run. It is true for classes that do not rely on
+// idempotency keys.
 func (g *Gateway) repeatIsDeduplicated(r *request, e *engine) bool {
 	if r.class.Idempotency != IdempotentWithKey {
 		return true
@@ -39,7 +40,8 @@
 	return g.nowMS > a.startedAtMS+r.class.IdempotencyWindowMS-idempotencyMarginTicks*g.settings.TickMS
 }
 
-// sameKeyScope reports whether two engines share the memory of idempotency keys.
+// sameKeyScope reports whether two engines share their record of idempotency
+// keys.
 func sameKeyScope(scope IdempotencyScope, a, b *engine) bool {
 	switch scope {
 	case SameZone:
@@ -51,8 +53,8 @@
 	}
 }
 
-// startAttempt starts an attempt on the engine, if there is one and the rules let
-// it, and reports whether it did. It is the one place from which attempts start.
+// startAttempt starts an attempt on the engine if the engine is not nil and the rules
+// allow it, and reports whether it did. All attempts start here.
 func (g *Gateway) startAttempt(r *request, e *engine) bool {
 	if e == nil || !g.mayStart(r, e) {
 		return false
@@ -88,7 +90,7 @@
 	g.act(Action{Kind: CancelAttempt, RequestID: r.id, Attempt: index, Reason: reason})
 }
 
-// handleAttemptStatus records a sign of life of an attempt.
+// handleAttemptStatus records a status report of an attempt.
 func (g *Gateway) handleAttemptStatus(ev Event) {
 	r, a := g.findAttempt(ev)
 	if a == nil {
@@ -102,12 +104,12 @@
 	case AttemptProgress:
 		a.progress = ev.Progress
 		a.progressAtMS = g.nowMS
-	default: // no more than a sign of life
+	default: // the other kinds show only that the engine is active
 	}
 }
 
-// handleAttemptEnd records the outcome of an attempt, and queues its request again
-// or ends it. A second outcome of the same attempt changes nothing.
+// handleAttemptEnd records the outcome of an attempt, and then queues the request
+// again or ends it if need be. A second outcome of the same attempt is ignored.
 func (g *Gateway) handleAttemptEnd(ev Event) {
 	r, a := g.findAttempt(ev)
 	if a == nil || !a.inFlight {
@@ -137,12 +139,12 @@
 	}
 }
 
-// mayStillRun reports whether an attempt may run on after its outcome.
+// mayStillRun reports whether an attempt may still be running after its outcome.
 func mayStillRun(result Result) bool {
 	return !result.neverRan() && result != Served && result != Errored
 }
 
-// releaseLoad records the end of a load.
+// releaseLoad records that a load has ended on the engine.
 func (g *Gateway) releaseLoad(r *request, e *engine) {
 	i := slices.Index(e.load.datasetsLoading, r.dataset)
 	if !r.class.IsLoad || i < 0 {
@@ -152,9 +154,10 @@
 	g.demand.LoadsChanged()
 }
 
-// countErrorsAsFailures counts the errors of a request's earlier attempts as failures of
-// their engines, once another has served it. Otherwise a client that sends what
-// no engine can run would have all of them ejected.
+// countErrorsAsFailures counts the errors of a request's earlier attempts as failures
+// of their engines, once another engine has served the request. If errors counted at
+// once, a client that sends a request that no engine can run would get all engines
+// ejected.
 func (g *Gateway) countErrorsAsFailures(r *request) {
 	for _, a := range r.attempts {
 		if a.errored {
@@ -163,7 +166,8 @@
 	}
 }
 
-// retryOrEnd queues an open request again, or ends it if no attempt may follow.
+// retryOrEnd queues an open request again, or ends it if no further attempt is
+// allowed.
 func (g *Gateway) retryOrEnd(r *request) {
 	if barrier := g.retryBarrier(r); barrier != NoReason {
 		g.endRequest(r, barrier)
@@ -176,8 +180,9 @@
 	g.enqueue(r)
 }
 
-// endRequest gives the final answer to an open request: rejected where sending it
-// again is harmless, else failed. It is the one place from which these come.
+// endRequest gives the final answer to an open request: it rejects the request if the
+// client may safely send it again, and fails it otherwise. All rejections and failures
+// are issued here.
 func (g *Gateway) endRequest(r *request, reason Reason) {
 	if r.closed {
 		return
@@ -193,8 +198,8 @@
 	g.act(answer)
 }
 
-// isSafeToResend reports whether a client may safely send the request again, to
-// any gateway.
+// isSafeToResend reports whether a client may safely send the request again, to any
+// gateway.
 func (r *request) isSafeToResend() bool {
 	if !r.mayHaveRun() {
 		return true
--- a/control/attempt_test.go
+++ b/control/attempt_test.go
@@ -40,24 +40,24 @@
 	}
 }
 
-// Without hedging no request has two attempts in flight; a request with an
-// idempotency key is not repeated once its window may be over.
+// Without hedging, a request has at most one attempt in flight. A request with an
+// idempotency key is not repeated once its window may have expired.
 func TestForbiddenRepeatsDoNotStart(t *testing.T) {
 	tr := newScenario(t, oneGateway(), engines("a", "b")...)
 	tr.arrive("r", 0, 50, 9000)
 	r, b := tr.gateway.requestByID["r"], tr.gateway.engineByID["b"]
 	if tr.gateway.mayStart(r, b) {
-		t.Error("a hedged request may start")
+		t.Error("a second attempt may start while the first is in flight, without hedging")
 	}
 	tr.arrive("k", 2, 50, 19000)
 	k := tr.gateway.requestByID["k"]
-	k.attempts[0].inFlight = false // its connection broke
+	k.attempts[0].inFlight = false // the connection of the attempt broke
 	if !tr.gateway.mayStart(k, b) {
-		t.Error("a request with a key may not be repeated within its window")
+		t.Error("a request with an idempotency key may not be repeated within its window")
 	}
 	tr.gateway.nowMS += 2995
 	if tr.gateway.mayStart(k, b) {
-		t.Error("a request with a key may be repeated after its window")
+		t.Error("a request with an idempotency key may be repeated after its window")
 	}
 	if s := oneGateway(); s.CanHedge {
 		t.Error("the settings allow hedging")
@@ -83,7 +83,7 @@
 	tr.arrive("short", 0, 50, 2000)
 	tr.advance(50)
 	if got := startedOrder(tr.starts); !slices.Equal(got, []string{"first", "short"}) {
-		t.Fatalf("sent %v", got)
+		t.Fatalf("attempts started for %v", got)
 	}
 	tr.handle(Event{Kind: RequestAbandoned, RequestID: "first"})
 	tr.advance(50)
@@ -98,6 +98,6 @@
 	}
 	tr.advance(60)
 	if got := startedOrder(tr.starts); !slices.Equal(got, []string{"first", "short", "second"}) {
-		t.Errorf("sent %v", got)
+		t.Errorf("attempts started for %v", got)
 	}
 }
--- a/control/class.go
+++ b/control/class.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	dashboardObjectiveRatio = 2.0 // objectives of dashboards are at most this many times the shortest one
+	dashboardObjectiveRatio = 2.0 // largest ratio of a dashboard class's objective to the shortest objective
 	averageThreadsWindowMS  = 3000.0
 )
 
-// class is a Class with what was learned about it.
+// class is a Class with the state that the gateway keeps for it.
 type class struct {
 	Class
 	isDashboard   bool
 	averageWorkMS runningMean
-	estimateBias  runningMean // reported work over estimated work
+	estimateBias  runningMean // mean ratio of reported work to estimated work
 
 	threadsInFlight   int     // of this gateway's attempts
-	averageThreads    float64 // the same, averaged over time
-	remainingThreadMS float64 // thread time that its running attempts still need, by the last sweep
-	runningAttempts   float64 // by the last sweep
+	averageThreads    float64 // moving average of threadsInFlight
+	remainingThreadMS float64 // thread time that its running attempts still need, as of the last sweep
+	runningAttempts   float64 // as of the last sweep
 }
 
-// newClasses returns the state of the classes. Dashboards are the classes with
-// the fewest threads and about the shortest objective that are no loads.
+// newClasses returns the state of the classes. Dashboards are the classes with the fewest
+// threads and an objective close to the shortest one, other than loads.
 func newClasses(settings []Class) (classes []class) {
 	objectiveMS, threads := math.Inf(1), math.MaxInt
 	for _, c := range settings {
@@ -42,7 +42,7 @@
 	return classes
 }
 
-// startSweep averages the threads in use and clears what the sweep adds up.
+// startSweep updates the moving average and clears the sums that each sweep computes.
 func (c *class) startSweep() {
 	c.remainingThreadMS = 0
 	c.runningAttempts = 0
@@ -50,11 +50,11 @@
 	c.averageThreads += deviation * sweepIntervalMS / averageThreadsWindowMS
 }
 
-// allows reports whether the class may go to the engine at all.
+// allows reports whether the class may use the engine at all.
 func (c *class) allows(e *EngineInfo) bool {
 	return (len(c.Zones) == 0 || slices.Contains(c.Zones, e.Zone)) &&
 		(len(c.EngineKinds) == 0 || slices.Contains(c.EngineKinds, e.Kind))
 }
 
-// isRestricted reports whether the class may go to some engines only.
+// isRestricted reports whether the class is restricted to some of the engines.
 func (c *class) isRestricted() bool { return len(c.Zones) > 0 || len(c.EngineKinds) > 0 }
--- a/control/event.go
+++ b/control/event.go
@@ -1,6 +1,6 @@
 package control
 
-// EventKind says which fields of an Event count.
+// EventKind is the kind of an Event. It determines which fields are used.
 type EventKind int
 
 // The kinds of events, each with the fields that it uses.
@@ -13,7 +13,7 @@
 	AttemptEnded
 
 	StreamOpened          // RequestID, Attempt, Engine: the response has begun
-	RequestAbandoned      // RequestID: its client no longer waits
+	RequestAbandoned      // RequestID: the client no longer waits
 	AttemptProgress       // RequestID, Attempt, Progress
 	AttemptShortOfMemory  // RequestID, Attempt, MissingMemoryMB
 	AttemptBlocked        // RequestID, Attempt, BlockedOn
@@ -22,23 +22,23 @@
 	TimerFired            // Timer
 	EndpointSnapshot      // Engines: the complete list
 	EndpointUpdate        // Engines: the entries that changed
-	EndpointListFailed    // the list could not be had
-	EngineDisabled        // Engine: an administrative override takes it out of use
-	EngineEnabled         // Engine: the override is lifted
+	EndpointListFailed    // the endpoint list could not be retrieved
+	EngineDisabled        // Engine: disabled by an administrative override
+	EngineEnabled         // Engine: the override was removed
 	FleetResized          // AliveGateways
-	AttemptAlive          // RequestID, Attempt: its engine gave a sign of life
+	AttemptAlive          // RequestID, Attempt: the engine has sent a message about the attempt
 	ClientPresenceChanged // RequestID, ClientDisconnected
 )
 
-// Event is something that happened.
+// Event is an input of a gateway.
 type Event struct {
 	Kind               EventKind
 	RequestID          string
 	Class              int
 	Tenant             int
-	Key                string // requests of an ordered class with one key run one at a time
+	Key                string // order key: requests of an ordered class with the same key run one at a time
 	DeadlineAtMS       float64
-	WorkMS             float64 // thread time of the request; 0: not known
+	WorkMS             float64 // thread time of the request; 0: unknown
 	MemoryMB           float64
 	Dataset            int
 	Attempt            int // index among the request's attempts
@@ -46,22 +46,22 @@
 	Result             Result
 	ElapsedMS          float64
 	RequestDone        bool    // the request is closed
-	Progress           float64 // part of an attempt's work that is done, from 0 to 1
-	MissingMemoryMB    float64 // memory that an attempt lacks
+	Progress           float64 // fraction of the attempt's work that is done, from 0 to 1
+	MissingMemoryMB    float64 // memory that the attempt lacks
 	BlockedOn          BlockedOn
-	ClientDisconnected bool        // the client may be gone: no attempt is to start
-	AliveGateways      int         // gateways that count for quotas of work
-	LoadReport         *LoadReport // nil: none came
+	ClientDisconnected bool        // the client may have disconnected: no attempt should start
+	AliveGateways      int         // gateways among which quotas are divided
+	LoadReport         *LoadReport // nil: no report received
 	Peer               int         // index of the gateway that sent the message
 	Message            []byte
 	Timer              TimerName
 	Engines            []EngineInfo
 }
 
-// Result is how an attempt or a probe ended.
+// Result is the outcome of an attempt or a probe.
 type Result int
 
-// The results of an attempt.
+// The results of attempts and probes.
 const (
 	Served        Result = iota
 	Errored              // may have run
@@ -70,7 +70,7 @@
 	ConnectFailed        // never ran
 	Reset                // may still run
 	Cancelled            // may still run
-	NotSent              // never ran: it did not leave the gateway
+	NotSent              // never ran: the request did not leave the gateway
 )
 
 // neverRan reports whether the result proves that the attempt did not run.
@@ -78,11 +78,11 @@
 	return r == Rejected || r == ConnectFailed || r == NotSent
 }
 
-// BlockedOn is what a blocked attempt waits for.
+// BlockedOn is the resource that a blocked attempt waits for.
 type BlockedOn int
 
-// What an attempt may wait for. Engines may report other values; nothing is
-// decided by them.
+// The resources that an attempt may wait for. Engines may report other values; no
+// decision depends on the value.
 const (
 	BlockedOnMemory BlockedOn = 1
 	BlockedOnLoad   BlockedOn = 2
@@ -95,15 +95,15 @@
 // The timers.
 const (
 	SweepTimer TimerName = "sweep" // check deadlines, attempts in flight and the queue
-	WatchTimer TimerName = "watch" // ask for the endpoint list again
+	WatchTimer TimerName = "watch" // request the endpoint list again
 )
 
-// LoadReport is what an engine reports of its load. A value that is absent is
-// negative.
+// LoadReport is an engine's report of its load. A negative value means that the engine
+// did not report it.
 type LoadReport struct {
-	InFlight       float64 // requests that run
-	Queued         float64 // requests that wait
-	BusyFraction   float64 // of its cores
+	InFlight       float64 // requests that are running
+	Queued         float64 // requests that are waiting
+	BusyFraction   float64 // fraction of its cores that are busy
 	MemoryFraction float64
 	DiskFraction   float64
 }
@@ -119,13 +119,13 @@
 	Draining    bool
 	Removed     bool
 
-	// GatewayCount is how many gateways use the engine, 0 if all do, and
-	// GatewayIndex is this one's index among them.
+	// GatewayCount is the number of gateways that use the engine, 0 if all do.
+	// GatewayIndex is the index of this gateway among them.
 	GatewayCount, GatewayIndex int
 
-	// SlowStartGatewayCount is how many gateways share what the engine bears while
-	// it warms up, by the configuration, and SlowStartGatewayIndex is this one's
-	// index among them, below 0 if it is none of them. Where SlowStartGatewayCount
-	// is 0, GatewayCount and GatewayIndex count.
+	// SlowStartGatewayCount is the number of gateways that, by the configuration, share
+	// the work that the engine may get while it warms up. SlowStartGatewayIndex is the
+	// index of this gateway among them, below 0 if it does not belong to them. If
+	// SlowStartGatewayCount is 0, GatewayCount and GatewayIndex apply instead.
 	SlowStartGatewayCount, SlowStartGatewayIndex int
 }
--- a/control/limits_test.go
+++ b/control/limits_test.go
@@ -9,12 +9,12 @@
 	"unicode/utf8"
 )
 
-// TestModuleSize holds the operators' limits on the files of the decisions.
+// TestModuleSize enforces the operators' limits on the source files of this package.
 func TestModuleSize(t *testing.T) {
 	const maxLines, maxColumns = 500, 110
 	files, err := filepath.Glob("*.go")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no files: %v", err)
+		t.Fatalf("no source files found: %v", err)
 	}
 	for _, file := range files {
 		if strings.HasSuffix(file, "_test.go") {
@@ -31,11 +31,11 @@
 			}
 			line = bytes.ReplaceAll(line, []byte("\t"), []byte("    "))
 			if n := utf8.RuneCount(line); n > maxColumns {
-				t.Errorf("%s:%d has %d columns, at most %d are allowed", file, i+1, n, maxColumns)
+				t.Errorf("%s:%d has %d columns, want at most %d", file, i+1, n, maxColumns)
 			}
 		}
 		if lines > maxLines {
-			t.Errorf("%s has %d lines that are not blank, at most %d are allowed", file, lines, maxLines)
+			t.Errorf("%s has %d lines that are not blank, want at most %d", file, lines, maxLines)
 		}
 	}
 }
--- a/control/permissions_test.go
+++ b/control/permissions_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Where the settings don't allow it, no engine is probed, no peer is told anything, no
-// priority is set and no attempt is cancelled; where they do, each of these is done in the
-// same scenario.
+// Without permission in the settings, the gateway probes no engine, sends nothing to its peers,
+// sets no priority and cancels no attempt. With permission, it does each of these in the same
+// scenario.
 func TestForbiddenActionsAreNotIssued(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -25,18 +25,18 @@
 			s.CanGossip = true
 			s.CanPrioritize = true
 			if allowed := countActions(busyScenario(t, s).actions, c.action); allowed == 0 {
-				t.Error("not done where it is allowed")
+				t.Error("no action of this kind although the settings allow it")
 			}
 			c.forbid(&s)
 			if forbidden := countActions(busyScenario(t, s).actions, c.action); forbidden != 0 {
-				t.Errorf("done %d times where it is forbidden", forbidden)
+				t.Errorf("%d actions of this kind although the settings forbid it", forbidden)
 			}
 		})
 	}
 }
 
-// busyScenario is one of engines that answer probes, and nothing else, while requests of
-// all classes come.
+// busyScenario returns a scenario in which requests of all classes arrive and the engines answer
+// probes but nothing else.
 func busyScenario(t *testing.T, s Settings) *scenario {
 	t.Helper()
 	tr := newScenario(t, s, engines("a", "b", "c", "d")...)
@@ -50,12 +50,12 @@
 	return tr
 }
 
-// A load report that comes although the settings have none is used: what an engine says of
-// itself is true. (TestRunawayAttemptIsRetried has the same of a note.)
+// A load report is used even if the settings say that engines send none: what an engine reports
+// of itself is true. (TestRunawayAttemptIsRetried covers the same for progress reports.)
 func TestUnannouncedLoadReportsAreUsed(t *testing.T) {
 	s := oneGateway()
 	if s.LoadReportsInAnswers || s.LoadReportsInProbes {
-		t.Fatal("the settings have load reports")
+		t.Fatal("the settings enable load reports")
 	}
 	tr := newScenario(t, s, engines("a")...)
 	tr.arrive("r", 0, 50, 2000)
@@ -65,6 +65,7 @@
 	e := tr.gateway.engineByID["a"]
 	want := fullThreadsPerCore * e.cores * 0.5
 	if e.load.reportedThreads != want || e.load.reportedAtMS != tr.nowMS {
-		t.Errorf("%v threads reported at %v, want %v", e.load.reportedThreads, e.load.reportedAtMS, want)
+		t.Errorf("%v threads reported at %v, want %v threads now", e.load.reportedThreads,
+			e.load.reportedAtMS, want)
 	}
 }
--- a/control/queue.go
+++ b/control/queue.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// handleArrival queues a new request. One of an unknown class or of an id that is
-// known changes nothing.
+// handleArrival registers and queues a new request. A request of an unknown class, or
+// with the id of a registered request, is ignored.
 func (g *Gateway) handleArrival(ev Event) {
 	if ev.Class < 0 || ev.Class >= len(g.classes) || g.requestByID[ev.RequestID] != nil {
 		return
@@ -35,13 +35,13 @@
 	}
 }
 
-// deadlineIsNear reports whether the next sweep may be too late for an answer. A
-// client's last attempt may arrive so.
+// deadlineIsNear reports whether the next sweep may be too late to answer the request by
+// its deadline. The last attempt of a client may arrive this late.
 func (g *Gateway) deadlineIsNear(r *request) bool {
 	return r.deadlineAtMS-g.nowMS <= sweepIntervalMS+2*g.settings.TickMS
 }
 
-// enqueue puts a request in the queue, by its arrival.
+// enqueue inserts a request into the queue in order of arrival.
 func (g *Gateway) enqueue(r *request) {
 	if r.queued {
 		return
@@ -53,8 +53,9 @@
 	g.queue = slices.Insert(g.queue, i, r)
 }
 
-// startQueued starts attempts of the queued requests that an engine takes, in
-// order of arrival. Those that none takes now keep their place and are passed.
+// startQueued starts an attempt of each queued request that some engine can take, in
+// order of arrival. The other requests keep their position, and later requests may
+// start before them.
 func (g *Gateway) startQueued() {
 	g.queue = slices.DeleteFunc(g.queue, func(r *request) bool {
 		r.queued = !r.closed && (r.clientDisconnected || !g.startAttempt(r, g.engineFor(r)))
@@ -62,7 +63,8 @@
 	})
 }
 
-// engineFor returns the engine that a queued request goes to now, nil if none.
+// engineFor returns the engine on which a queued request should start now, nil if
+// there is none.
 func (g *Gateway) engineFor(r *request) *engine {
 	if r.class.isDashboard {
 		return g.engineForDashboard(r)
--- a/control/reason.go
+++ b/control/reason.go
@@ -1,39 +1,40 @@
 package control
 
-// Reason says why a request was rejected or failed, or why an attempt was
-// cancelled. It is for logs and counters: nothing is decided by it.
+// Reason is why a request was rejected or failed, or why an attempt was cancelled. It is
+// used in logs and counters only: no decision depends on it.
 type Reason int
 
 // NoReason is the reason of a request that was served.
 const NoReason Reason = 0
 
-// The reasons that this package gives.
+// The reasons that this package reports.
 const (
-	NearDeadline         Reason = iota + 1 // its deadline comes before the next sweep
-	NoCapacityInTime                       // a dashboard found no engine below its limit in time
-	LowValuePerCost                        // it is late, and others earn more with its threads
-	MissesObjective                        // it would miss its objective: others of its class weigh more
-	OpenRequestsFull                       // few more requests may be open
-	UnresponsiveAttempt                    // an attempt shows no sign of life, or takes far too long
+	NearDeadline         Reason = iota + 1 // the deadline comes before the next sweep
+	NoCapacityInTime                       // no engine was below its limit of dashboards in time
+	LowValuePerCost                        // the request is late, and others are worth more for its threads
+	MissesObjective                        // it would miss its objective, and others of its class weigh more
+	OpenRequestsFull                       // the number of open requests is close to its limit
+	UnresponsiveAttempt                    // the engine does not respond, or the attempt takes far too long
 	ResponseLost                           // work that must not be repeated is long overdue
-	ResponseStarted                        // its response has begun
-	EngineErrors                           // several engines answered it with an error
+	ResponseStarted                        // the response has begun
+	EngineErrors                           // several engines returned errors
 	AttemptLimit                           // Settings.MaxAttempts is reached
-	RetryBudgetExhausted                   // no retry is left in the budget
+	RetryBudgetExhausted                   // the retry budget allows no further retry
 	MayHaveRun                             // an attempt may have run, and the class must not run twice
 	NoTimeToRetry                          // a retry would end after the deadline
 )
 
-// The reasons that the caller gives for requests that it ends itself.
+// The reasons that the caller gives when it ends a request itself.
 const (
-	DeadlinePassed     Reason = iota + NoTimeToRetry + 1 // no answer came by its deadline
-	ShuttingDown                                         // the program ends
-	ClientDisconnected                                   // no client waits for it
+	DeadlinePassed     Reason = iota + NoTimeToRetry + 1 // no response came by the deadline
+	ShuttingDown                                         // the program is shutting down
+	ClientDisconnected                                   // no client waits for the response
 
 	reasonCount
 )
 
-// reasonNames are keys of the operators' counters: they don't change.
+// reasonNames holds the texts of the reasons. They are keys of the operators' counters
+// and must not change.
 var reasonNames = [reasonCount]string{
 	NoReason:             "none",
 	NearDeadline:         "near its deadline",
@@ -54,8 +55,7 @@
 	ClientDisconnected:   "its client left",
 }
 
-// String returns the reason in words, as the log shows it and as the counters by
-// reason have it as a key.
+// String returns the text of the reason, which the log and the counters by reason use.
 func (r Reason) String() string {
 	if r < 0 || r >= reasonCount {
 		return "unknown reason"
--- a/control/request.go
+++ b/control/request.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// request is a request that owes an answer, or has an attempt in flight.
+// request is a request that has not been answered yet, or has an attempt in flight.
 type request struct {
 	id              string
 	class           *class
@@ -10,14 +10,14 @@
 	key             string
 	arrivedAtMS     float64
 	deadlineAtMS    float64
-	estimatedWorkMS float64 // 0: not known
+	estimatedWorkMS float64 // 0: unknown
 	dataset         int
 	sequence        int // order of arrival
 
 	attempts           []attempt
-	closed             bool // it has its answer, or its client no longer waits
+	closed             bool // answered, or the client no longer waits
 	queued             bool
-	streaming          bool // its response has begun
+	streaming          bool // the response has begun
 	clientDisconnected bool
 }
 
@@ -25,18 +25,18 @@
 type attempt struct {
 	engine             *engine
 	startedAtMS        float64
-	startedAtLightLoad bool // the engine had few threads of this gateway
-	inFlight           bool // it has no outcome yet
+	startedAtLightLoad bool // the engine ran few threads of this gateway
+	inFlight           bool // without an outcome so far
 	cancelled          bool
 	errored            bool
 	neverRan           bool
-	blockedByLoad      bool // a load of its data set ran on its engine
+	blockedByLoad      bool // a load of its data set ran on the engine
 	progress           float64
-	progressAtMS       float64 // when the progress was reported
-	lastStatusAtMS     float64 // last status report of any kind
+	progressAtMS       float64 // time of the last progress report
+	lastStatusAtMS     float64 // time of the last status report of any kind
 }
 
-// inFlight counts the attempts without an outcome.
+// inFlight returns the number of attempts without an outcome.
 func (r *request) inFlight() (count int) {
 	for i := range r.attempts {
 		if r.attempts[i].inFlight {
@@ -46,7 +46,7 @@
 	return count
 }
 
-// errorCount counts the attempts that ended in an error.
+// errorCount returns the number of attempts that ended in an error.
 func (r *request) errorCount() (count int) {
 	for i := range r.attempts {
 		if r.attempts[i].errored {
@@ -56,17 +56,17 @@
 	return count
 }
 
-// mayHaveRun reports whether an attempt is not proved never to have run.
+// mayHaveRun reports whether some attempt is not proved never to have run.
 func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.neverRan })
 }
 
-// attempted reports whether an attempt went to the engine.
+// attempted reports whether the request has had an attempt on the engine.
 func (r *request) attempted(e *engine) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.engine == e })
 }
 
-// findAttempt returns the request and the attempt that an event names, or nil.
+// findAttempt returns the request and the attempt that an event refers to, or nil.
 func (g *Gateway) findAttempt(ev Event) (*request, *attempt) {
 	r := g.requestByID[ev.RequestID]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) {
@@ -75,7 +75,7 @@
 	return r, &r.attempts[ev.Attempt]
 }
 
-// register enters a new request in every list and sum that it belongs to.
+// register adds a new request to every list and sum that includes it.
 func (g *Gateway) register(r *request) {
 	g.nextSequence++
 	g.openRequests = append(g.openRequests, r)
@@ -89,23 +89,23 @@
 	g.demand.RecordDemand(secondaryWorkMS, r.tenant)
 }
 
-// unregister drops a request that is closed and has nothing in flight.
+// unregister removes a request that is closed and has no attempt in flight.
 func (g *Gateway) unregister(r *request) {
 	delete(g.requestByID, r.id)
 	g.keys.remove(r)
 }
 
-// keyOrder holds the requests of ordered classes by key.
+// keyOrder holds the requests of ordered classes by order key.
 type keyOrder struct {
 	requests map[string][]*request // in order of arrival
 	settling map[string]keySettling
 }
 
-// keySettling bars a key while an attempt that ended without a clear outcome may
-// still run.
+// keySettling blocks a key after an attempt ended without a clear outcome, as the
+// attempt may still be running.
 type keySettling struct {
 	untilMS float64
-	request *request // the one whose attempt it was: it may go on
+	request *request // the request of that attempt; the key is not blocked for it
 }
 
 func newKeyOrder() keyOrder {
@@ -131,8 +131,8 @@
 	k.requests[r.key] = list
 }
 
-// first returns the first request of a key that is open or has an attempt in
-// flight, nil if there is none.
+// first returns the first request of a key that is open or has an attempt in flight,
+// nil if there is none.
 func (k *keyOrder) first(key string) *request {
 	for _, r := range k.requests[key] {
 		if !r.closed || r.inFlight() > 0 {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// mayRun reports whether the order of its key lets the request run at a time.
+// mayRun reports whether the order of its key allows the request to run at a time.
 func (k *keyOrder) mayRun(r *request, nowMS float64) bool {
 	if !r.class.OrderedByKey || r.key == "" {
 		return true
--- a/control/retry.go
+++ b/control/retry.go
@@ -3,15 +3,15 @@
 import "slices"
 
 const (
-	engineErrorsToFail = 2 // engines that answer a request with an error: then it is the request's own
+	engineErrorsToFail = 2 // errors of attempts after which the request itself counts as the cause
 
-	// This gateway's own budget, beside that of the settings.
+	// The gateway's own retry budget, which applies in addition to that of the settings.
 	retriesPerRequest = 0.3
 	baseRetries       = 5.0
 	retryWindowMS     = 5000.0
 )
 
-// retryBudget holds the times of what the budgets of retries count.
+// retryBudget holds the times of the arrivals and retries that the budgets count.
 type retryBudget struct {
 	arrivals []float64
 	retries  []float64
@@ -22,7 +22,7 @@
 	return !r.closed && g.retryBarrier(r) == NoReason
 }
 
-// retryBarrier returns the rule that bars another attempt of an open request,
+// retryBarrier returns the rule that forbids another attempt of an open request,
 // NoReason if none does.
 func (g *Gateway) retryBarrier(r *request) Reason {
 	switch {
@@ -40,9 +40,11 @@
 	return NoReason
 }
 
-// retryBudgetAllows reports whether one more retry fits this gateway's own budget
-// and that of the settings. On sockets two attempts may reach their engines closer
-// together than they were decided on, so the latter looks further back.
+// retryBudgetAllows reports whether both the gateway's own budget and that of the
+// settings allow one more retry. The delay until an attempt reaches its engine varies, so
+// two attempts may arrive closer together than they were decided on. The budget of the
+// settings is therefore checked over a longer window for retries, and a shorter one for
+// arrivals.
 func (g *Gateway) retryBudgetAllows() bool {
 	b := &g.retryBudget
 	fromMS := g.nowMS - retryWindowMS
@@ -58,7 +60,7 @@
 	return retries+1 <= g.settings.RetryBudgetBase+g.settings.RetryBudgetPerRequest*arrivals
 }
 
-// expireRetryBudget drops the times that no budget looks at any more.
+// expireRetryBudget drops the times that lie before the windows of both budgets.
 func (g *Gateway) expireRetryBudget() {
 	windowMS := max(retryWindowMS, g.settings.RetryBudgetWindowMS+g.settings.SendDelayAllowanceMS)
 	beforeMS := g.nowMS - windowMS - sweepIntervalMS
@@ -66,7 +68,7 @@
 	g.retryBudget.retries = dropBefore(g.retryBudget.retries, beforeMS)
 }
 
-// countAfter counts the times, which are in order, that lie after a moment.
+// countAfter returns how many of the times, which are sorted, lie after a moment.
 func countAfter(times []float64, from float64) float64 {
 	i, _ := slices.BinarySearchFunc(times, from, func(t, from float64) int {
 		if t > from {
@@ -77,7 +79,7 @@
 	return float64(len(times) - i)
 }
 
-// dropBefore drops the times, which are in order, that lie before a moment.
+// dropBefore drops those of the times, which are sorted, that lie before a moment.
 func dropBefore(times []float64, before float64) []float64 {
 	i, _ := slices.BinarySearch(times, before)
 	return slices.Delete(times, 0, i)
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Without a budget in the settings, retries still must not amplify the load.
+// Even without a retry budget in the settings, retries must not amplify the load.
 func TestRetriesDoNotAmplifyLoad(t *testing.T) {
 	tr := newScenario(t, oneGateway(), engines("a", "b", "c")...)
 	for i := range 400 {
@@ -38,13 +38,13 @@
 		}
 	}
 	if limit := 400 + baseRetries + 400*retriesPerRequest; float64(len(tr.starts)) > limit {
-		t.Errorf("%d attempts for 400 requests, at most %v", len(tr.starts), limit)
+		t.Errorf("%d attempts for 400 requests, want at most %v", len(tr.starts), limit)
 	}
 }
 
-// On sockets an attempt may reach its engine later than it was decided on, so
-// two that were decided on a window apart may arrive within one: the budget of
-// attempts looks further back by that.
+// An attempt may reach its engine later than it was decided on, so two retries that were
+// decided on a window apart may arrive within one window. The budget therefore counts retries
+// over a window extended by the largest such delay.
 func TestRetryBudgetAllowsForSendDelay(t *testing.T) {
 	s := oneGateway()
 	s.RetryBudgetBase = 1
@@ -56,7 +56,7 @@
 	for after, want := range map[float64]bool{999: false, 1300: false, 1400: true} {
 		tr.gateway.nowMS = tr.nowMS + after
 		if tr.gateway.retryBudgetAllows() != want {
-			t.Errorf("%v ms after a retry: another may start %v", after, !want)
+			t.Errorf("%v ms after a retry: another retry allowed is %v", after, !want)
 		}
 	}
 }
--- a/control/routing.go
+++ b/control/routing.go
@@ -6,37 +6,39 @@
 )
 
 const (
-	// A load report guides dashboards for longer than it proves headroom: they take
-	// little capacity.
+	// Age up to which a load report is used to route dashboards. It is longer than
+	// headroomReportMaxAgeMS, as dashboards take little capacity.
 	routingReportMaxAgeMS = 3000.0
 
-	nonPreferredCost = 0.75 // threads a core by which a preferred engine may be fuller
+	nonPreferredCost = 0.75 // threads per core by which a preferred engine may be fuller than others
 
-	// Parts of the engines that may run a load of a data set: its readers need others.
+	// Largest fractions of the engines that may run loads of one data set at a time: the
+	// requests that these loads block need the other engines.
 	maxLoadingFraction       = 0.5
-	maxUrgentLoadingFraction = 0.8 // for loads that have little time left:
-	urgentDurations          = 2.0 // this many times their expected duration
+	maxUrgentLoadingFraction = 0.8 // for a load with little time left
+	urgentDurations          = 2.0 // expected durations of a load below which the time left is little
 )
 
-// separation says how well a choice of engine keeps the loads of a data set apart
-// from its readers, best first.
+// separation says how well a choice of engine keeps the loads of a data set apart from
+// the requests that read it, best first.
 type separation int
 
 const (
 	separate   separation = iota
-	mixed                 // a reader on a preferred engine of loads, or a load on another one
-	behindLoad            // a load of the data set runs there: the request would be blocked
+	mixed                 // a reader on an engine that loads prefer, or a load on another engine
+	behindLoad            // a load of the data set runs there, which would block the request
 )
 
-// choiceRank orders the engines that a request may go to. An engine that it was
-// not attempted on comes first, then the better separation, then the lower cost.
+// choiceRank ranks the engines that a request may go to. Engines that have had no
+// attempt of the request come first, then those with the better separation, then those
+// of lower cost.
 type choiceRank struct {
 	attempted  bool
 	separation separation
 	cost       float64
 }
 
-// worstRank comes after every rank of finite cost.
+// worstRank comes after every rank with a finite cost.
 var worstRank = choiceRank{attempted: true, separation: behindLoad, cost: math.Inf(1)}
 
 func (c choiceRank) better(than choiceRank) bool {
@@ -49,8 +51,8 @@
 	return c.cost < than.cost
 }
 
-// engineForDashboard returns the engine with the fewest threads a core, nil if all
-// have as many dashboards as they may.
+// engineForDashboard returns the engine with the fewest threads per core, nil if all
+// engines have reached their limit of dashboards.
 func (g *Gateway) engineForDashboard(r *request) *engine {
 	return g.choose(r, func(e *engine) float64 {
 		if g.dashboardsAtLimit(r.class, e) {
@@ -64,7 +66,7 @@
 	})
 }
 
-// otherGatewaysThreads estimates what other gateways run on an engine.
+// otherGatewaysThreads estimates the threads that other gateways run on an engine.
 func (g *Gateway) otherGatewaysThreads(e *engine) float64 {
 	if g.nowMS-e.load.reportedAtMS < routingReportMaxAgeMS {
 		return e.load.reportedThreads + e.load.threadsSinceReport
@@ -72,9 +74,9 @@
 	return e.cores
 }
 
-// engineForSecondary returns the engine with most headroom under its thread limit for
-// secondary work, nil if none has any. The request may pass the limit of an
-// engine with a single thread of headroom.
+// engineForSecondary returns the engine with the most headroom under its thread limit
+// for secondary work, nil if none has headroom. On an engine with a limit of its own,
+// one thread of headroom is enough, and the request may then exceed the limit.
 func (g *Gateway) engineForSecondary(r *request) *engine {
 	overshootExhausted := g.overshootExhausted(r)
 	e := g.choose(r, func(e *engine) float64 {
@@ -99,10 +101,10 @@
 	return e
 }
 
-// overshootExhausted reports whether this gateway's threads on all engines with
-// limits of their own reach the sum of these limits, unrounded, and its part of
-// one overshoot an engine. Without it many gateways could pass the limits of all
-// engines at once.
+// overshootExhausted reports whether this gateway's threads on all engines with limits
+// of their own have reached the sum of these limits, unrounded, plus this gateway's
+// share of one overshoot per engine. Without this check many gateways could exceed the
+// limits of all engines at once.
 func (g *Gateway) overshootExhausted(r *request) bool {
 	threads, limits := 0.0, 0.0
 	for _, e := range g.engines {
@@ -115,9 +117,9 @@
 	return threads > 0 && threads >= limits
 }
 
-// choose returns the selectable engine of the best rank, nil if there is none or
-// the request should wait. An engine of infinite cost is not chosen. Equals are
-// drawn: gateways with one list must not all go to the same.
+// choose returns the selectable engine of the best rank, nil if there is none or the
+// request should wait. An engine of infinite cost is not chosen. Ties are broken at
+// random, as gateways with the same list must not all choose the same engine.
 func (g *Gateway) choose(r *request, cost func(*engine) float64) *engine {
 	ranking := g.newRanking(r)
 	selectable, loading := 0.0, 0.0
@@ -158,9 +160,9 @@
 type ranking struct {
 	gateway          *Gateway
 	request          *request
-	separates        bool      // the request is a load, or blocked by loads
-	preferredByLoads []*engine // by the loads of its data set, if it separates
-	preferred        []*engine // by its data set and class
+	separates        bool      // the request is a load or is blocked by loads
+	preferredByLoads []*engine // engines that loads of the data set prefer; empty unless separates is set
+	preferred        []*engine // engines that requests of this data set and class prefer
 }
 
 func (g *Gateway) newRanking(r *request) ranking {
@@ -172,9 +174,9 @@
 	return k
 }
 
-// rank returns the rank of an engine at a cost. Loads go by affinity instead where
-// engines have limits of their own, so that all gateways' loads of a data set
-// meet.
+// rank returns the rank of an engine at a cost. For loads, affinity replaces the cost
+// where engines have limits of their own, so that all gateways send the loads of a data
+// set to the same engines.
 func (k *ranking) rank(e *engine, cost float64) choiceRank {
 	r := k.request
 	if r.class.IsLoad && !e.sharesThreadLimit {
@@ -199,11 +201,12 @@
 	}
 }
 
-// shouldWait reports whether a request should wait and not go to the engine: a
-// reader that a load would block while another engine has none, or a load that
-// would leave too few engines without one. Otherwise loads of a few data sets
-// spread until readers are blocked everywhere, and hold the threads of others.
-// A load that has little time left may go to more engines.
+// shouldWait reports whether a request should wait instead of going to the engine. A
+// reader waits if a load would block it there and some other engine runs no load of the
+// data set. A load waits if it would leave too few engines without a load of the data
+// set. Otherwise loads of a few data sets would spread until their readers are blocked
+// on every engine and hold threads that other requests need. A load that has little
+// time left may use more engines.
 func (g *Gateway) shouldWait(r *request, e *engine, selectable, loading float64) bool {
 	if !r.class.IsLoad {
 		return r.class.BlockedByLoads && loading < selectable && g.runsLoad(e, r.dataset)
@@ -215,8 +218,9 @@
 	return loading > 0 && loading+1 > selectable*fraction
 }
 
-// selectable reports whether the engine may be chosen for a request. One that is
-// ejected gets nothing, and after its time a single dashboard as a recovery probe.
+// selectable reports whether the engine may be chosen for a request. An ejected engine
+// gets no requests, except that after its ejection time a single dashboard may go there
+// as a recovery probe.
 func (g *Gateway) selectable(e *engine, r *request) bool {
 	if !g.mayStart(r, e) {
 		return false
--- a/control/routing_test.go
+++ b/control/routing_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// Loads of a data set go to its preferred engine, where readers don't go, and a
-// second one goes to the next engine, as the first would block it. A third is
-// queued: half of the engines are left to readers, until it has little time. A
-// reader is queued and not sent behind a load while there are other engines.
+// The first load of a data set goes to its preferred engine, which readers avoid. A second
+// load goes to another engine, as the first would block it. A third load is queued until
+// it has little time left, as half of the engines are left to readers. A reader is queued
+// rather than sent to an engine with a load while other engines have none.
 func TestLoadsAndReadersAreSeparated(t *testing.T) {
 	tr := newScenario(t, oneGateway(), engines("a", "b", "c", "d")...)
 	preferred := tr.gateway.preferred(7, nil)[0].ID
@@ -20,13 +20,13 @@
 	}
 	first, second := load("l1"), load("l2")
 	if first != preferred || second == preferred {
-		t.Errorf("loads went to %s and %s, preferred is %s", first, second, preferred)
+		t.Errorf("loads went to %s and %s, the preferred engine is %s", first, second, preferred)
 	}
 	for i := range 6 {
 		tr.handle(Event{Kind: RequestArrived, RequestID: fmt.Sprint(i), Class: 0, DeadlineAtMS: tr.nowMS + 2000,
 			WorkMS: 50, Dataset: 7})
 		if e := tr.starts[len(tr.starts)-1].Engine; e == first || e == second {
-			t.Errorf("a reader went to %s, beside a load", e)
+			t.Errorf("a reader went to %s, which runs a load of its data set", e)
 		}
 	}
 	before := len(tr.starts)
@@ -38,18 +38,18 @@
 	if third := tr.gateway.requestByID["l3"]; len(third.attempts) != 0 || third.closed {
 		t.Errorf("the third load did not wait: %+v", third)
 	}
-	for i := range 200 { // more than the two free engines take
+	for i := range 200 { // more than the two engines without a load can take
 		tr.handle(Event{Kind: RequestArrived, RequestID: fmt.Sprint("r", i), Class: 0,
 			DeadlineAtMS: tr.nowMS + 2000, WorkMS: 50, Dataset: 7})
 	}
 	for _, s := range tr.starts[before:] {
 		if s.Engine == first || s.Engine == second {
-			t.Fatalf("a reader went to %s, behind a load", s.Engine)
+			t.Fatalf("a reader went to %s, which runs a load of its data set", s.Engine)
 		}
 	}
 }
 
-// A load that is queued for the sake of readers starts while there is time for it.
+// A load that waits so that readers keep enough engines starts while it has time left.
 func TestQueuedLoadStartsInTime(t *testing.T) {
 	tr := newScenario(t, oneGateway(), engines("a", "b", "c", "d")...)
 	for i := range 3 {
@@ -68,7 +68,8 @@
 	}
 }
 
-// Many gateways must not each pass the limit of every engine.
+// Many gateways together must not exceed the limits of all engines: they share one overshoot
+// per engine.
 func TestGatewaysShareOneOvershoot(t *testing.T) {
 	s := oneGateway()
 	s.GatewayCount = 16
@@ -77,7 +78,8 @@
 		tr.arrive(fmt.Sprint(i), 1, 400, 19000)
 	}
 	if n := len(tr.starts); n < 1 || n > 2 {
-		t.Errorf("%d attempts of four threads in flight with half a thread an engine, want 1 or 2", n)
+		t.Errorf("%d attempts of four threads in flight, with a quota of half a thread per engine; want 1 or 2",
+			n)
 	}
 }
 
@@ -85,19 +87,19 @@
 	tr := newScenario(t, twoEngineKinds(), EngineInfo{ID: "small"}, EngineInfo{ID: "big", Kind: 1})
 	tr.arrive("bound", 1, 400, 9000)
 	if len(tr.starts) != 1 || tr.starts[0].Engine != "small" {
-		t.Fatalf("sent %v", tr.starts)
+		t.Fatalf("attempts %v, want one on the engine of the allowed kind", tr.starts)
 	}
 	tr.nowMS += 5
 	tr.endAttempt("bound", ConnectFailed)
 	tr.handle(Event{Kind: EndpointUpdate, Engines: []EngineInfo{{ID: "small", Removed: true}}})
 	tr.advance(9000)
 	if slices.ContainsFunc(tr.starts, func(a Action) bool { return a.Engine == "big" }) {
-		t.Error("sent to a kind that it is restricted from")
+		t.Error("an attempt started on an engine of a kind that its class is not allowed to use")
 	}
 }
 
-// An engine without an earlier attempt comes first, then the separation of loads
-// and readers, then the cost.
+// Engines without an earlier attempt of the request rank first, then the better separation of
+// loads and readers, then the lower cost.
 func TestChoiceRankOrder(t *testing.T) {
 	ordered := []choiceRank{
 		{cost: -5},
--- a/control/shedding.go
+++ b/control/shedding.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	targetOpenFraction   = 0.85  // part of MaxOpenRequests above which some requests are ended
-	criticalOpenFraction = 0.97  // and above which that does not wait for the next sweep
-	retryAfterMS         = 100.0 // advice to rejected clients: sweeps find capacity well within it
+	targetOpenFraction   = 0.85  // fraction of MaxOpenRequests above which a sweep ends some requests
+	criticalOpenFraction = 0.97  // fraction above which requests are ended at once, not at the next sweep
+	retryAfterMS         = 100.0 // advice to rejected clients; sweeps find capacity well within this time
 	servedWeightWindowMS = 1000.0
-	minRequestsPerSecond = 1e-9 // of a tenant, as a divisor
+	minRequestsPerSecond = 1e-9 // lower bound for the rate of a tenant, which is a divisor
 )
 
-// servedWeight is the priority weight that is earned by answers.
+// servedWeight sums the priority weight of the requests that were served.
 type servedWeight struct {
 	sinceSweep float64
-	perMS      float64 // averaged
+	perMS      float64 // moving average
 }
 
-// update averages the served weight, once a sweep.
+// update updates the moving average. It is called once per sweep.
 func (w *servedWeight) update() {
 	w.perMS += (w.sinceSweep/sweepIntervalMS - w.perMS) * sweepIntervalMS / servedWeightWindowMS
 	w.sinceSweep = 0
 }
 
-// shedQueue rejects secondary work that can't be done in time.
+// shedQueue rejects queued secondary work that can't be served in time.
 func (g *Gateway) shedQueue() {
 	for i := range g.classes {
 		if !g.classes[i].isDashboard {
@@ -34,9 +34,9 @@
 	}
 }
 
-// shedClass plays the queue of a class ahead. When a request would miss its
-// objective, the one of least weight for its work among those up to it is
-// rejected (Moore and Hodgson's rule).
+// shedClass simulates how the queue of a class will be served. When a request would
+// miss its objective, the request with the least weight per unit of work among it and
+// those before it is rejected (Moore and Hodgson's rule).
 func (g *Gateway) shedClass(c *class) {
 	schedule := g.schedule[:0]
 	threads := float64(c.Threads)
@@ -63,8 +63,8 @@
 	g.schedule = schedule
 }
 
-// leastWeightPerWork returns the index of the request with the least weight for
-// its work, the last one if all are alike.
+// leastWeightPerWork returns the index of the request with the least weight per unit
+// of work, the last index if all are equal.
 func (g *Gateway) leastWeightPerWork(requests []*request) int {
 	worst := len(requests) - 1
 	for i, r := range requests {
@@ -75,15 +75,15 @@
 	return worst
 }
 
-// weightPerWork is the priority weight of a request for its work. What a tenant
-// sends over its quota weighs less.
+// weightPerWork returns the priority weight of a request per unit of work. Requests
+// over their tenant's quota weigh less.
 func (g *Gateway) weightPerWork(r *request) float64 {
 	within := g.withinQuota(r)
 	return r.class.PriorityWeight * (within + (1-within)*g.settings.OverQuotaWeight) / max(1, g.workMS(r))
 }
 
-// withinQuota is the part of its tenant's requests that its quota covers. It
-// guards the other tenants against a flood.
+// withinQuota returns the fraction of its tenant's requests that the tenant's quota
+// covers. It protects other tenants when one tenant sends far more than its quota.
 func (g *Gateway) withinQuota(r *request) float64 {
 	if len(g.settings.Tenants) == 0 {
 		return 1
@@ -98,10 +98,10 @@
 	return min(1, quota/max(g.demand.RequestsPerSecond(g.nowMS, r.tenant), minRequestsPerSecond))
 }
 
-// expectedThreads is how many threads the request's class has here: the sum of the
-// limits that are this gateway's own; else what the class had in use lately, or
-// this gateway's quota. Engines that warm up and can't take the request count for
-// nothing.
+// expectedThreads returns how many threads the class of the request can expect from
+// this gateway: the sum of the gateway's own limits, plus, where engines share a limit,
+// the threads that the class used recently or this gateway's quota of cores, whichever
+// is larger. Engines in slow start that can't take the request are left out.
 func (g *Gateway) expectedThreads(r *request) float64 {
 	threads, sharedCores := 0.0, 0.0
 	for _, e := range g.engines {
@@ -120,7 +120,8 @@
 	return max(threads, float64(r.class.Threads))
 }
 
-// weightIfServedAfter is what a response earns after a further time.
+// weightIfServedAfter returns the weight of a response that is given after a further
+// time.
 func (g *Gateway) weightIfServedAfter(r *request, afterMS float64) float64 {
 	if g.nowMS+afterMS > g.objectiveAtMS(r) {
 		return r.class.PriorityWeight * r.class.LateWeight
@@ -128,9 +129,10 @@
 	return r.class.PriorityWeight
 }
 
-// shouldYieldThreads reports whether a late attempt of secondary work will earn
-// less for the threads that it goes on to hold than its class earns in time, while
-// others wait for them. It guards a full fleet against bad plans that run on.
+// shouldYieldThreads reports whether a late attempt of secondary work holds threads
+// that are worth more to the requests waiting for them: its late weight per remaining
+// thread time is lower than the weight that its class earns in time. When all engines
+// are busy, this stops attempts with bad plans from holding threads for long.
 func (g *Gateway) shouldYieldThreads(r *request, timing attemptTiming) bool {
 	if r.class.Idempotency != Idempotent || r.class.isDashboard || g.nowMS <= g.objectiveAtMS(r) {
 		return false
@@ -145,24 +147,25 @@
 	return r.class.LateWeight*r.averageWorkMS() < remainingMS*float64(r.class.Threads)
 }
 
-// openRequestsCritical reports whether open requests must be ended at once to
-// admit new ones.
+// openRequestsCritical reports whether open requests must be ended at once so that new
+// ones can be accepted.
 func (g *Gateway) openRequestsCritical() bool {
 	limit := g.settings.MaxOpenRequests
 	return limit > 0 && float64(len(g.openRequests)) > criticalOpenFraction*float64(limit)
 }
 
-// shedCandidate is an open request that may be ended, and what it earns for the
-// time that it will stay open.
+// shedCandidate is an open request that may be ended, with its weight per millisecond
+// that it is expected to stay open.
 type shedCandidate struct {
 	request     *request
 	weightPerMS float64
 }
 
-// shedOpenRequests ends requests while few more may be open: those
-// that earn less for the time that they will stay open than open requests earn on
-// average. Otherwise requests that are blocked by loads, or too late for any
-// weight, fill MaxOpenRequests while new clients are turned off.
+// shedOpenRequests ends open requests when their number is close to MaxOpenRequests. It
+// ends requests whose weight, per time that they will stay open, is below the average
+// weight per time that open requests yield. Otherwise requests that are blocked by
+// loads, or are too late to have any weight, would fill MaxOpenRequests while new
+// clients are refused.
 func (g *Gateway) shedOpenRequests() {
 	target := targetOpenFraction * float64(g.settings.MaxOpenRequests)
 	if target <= 0 || float64(len(g.openRequests)) <= target {
@@ -179,9 +182,9 @@
 	}
 }
 
-// shedCandidates returns the open requests that earn less than the mean, and how
-// many are open. A response that has begun and work in flight that must not be
-// repeated are left alone.
+// shedCandidates returns the open requests of less than average weight per time, and
+// the number of open requests. It leaves out requests whose response has begun, and
+// requests in flight that must not be repeated.
 func (g *Gateway) shedCandidates() (candidates []shedCandidate, openCount int) {
 	meanPerMS := g.servedWeight.perMS / float64(g.settings.MaxOpenRequests)
 	for _, r := range g.openRequests {
@@ -201,8 +204,8 @@
 	return candidates, openCount
 }
 
-// remainingOpenMS is how much longer a request is expected to stay open: one that
-// waits, as long again as it has so far.
+// remainingOpenMS returns how much longer a request is expected to stay open. A request
+// that waits is expected to wait as long again as it has waited so far.
 func (g *Gateway) remainingOpenMS(r *request) float64 {
 	expectedMS := g.expectedDurationMS(r)
 	if r.class.isDashboard {
--- a/control/shedding_test.go
+++ b/control/shedding_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What can't be done in time is rejected, the least weight for its work first.
+// Requests that can't be served in time are rejected, least weight per unit of work first.
 func TestSheddingRejectsLeastWeightPerWork(t *testing.T) {
 	s := oneGateway()
 	s.Classes[1].Threads = 1
@@ -22,18 +22,18 @@
 	}
 	tr.advance(50)
 	if len(tr.finals) != 1 || tr.finals[0].RequestID != "heavy" || tr.finals[0].Kind != RejectRequest {
-		t.Errorf("final answers %v, want the heaviest rejected alone", tr.finals)
+		t.Errorf("final answers %v, want only the request with the most work rejected", tr.finals)
 	}
 }
 
-// A late attempt that would earn less than the threads it holds is cancelled once
-// others wait for them, and its client is answered at once; with nobody waiting it
-// goes on, and so does one that is not idempotent.
+// A late attempt whose weight is too low for the threads it holds is cancelled once other
+// requests wait for the threads, and its client is answered at once. If no request waits, or
+// the request is not idempotent, the attempt continues.
 func TestLateAttemptIsCancelledForOthers(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		idempotency Idempotency
-		others      int // queued
+		others      int // queued requests
 		ended       bool
 	}{
 		{"nothing queued", Idempotent, 0, false},
@@ -48,7 +48,7 @@
 		tr.arrive("late", 1, 800, 19000)
 		tr.advance(s.Classes[1].LatencyObjectiveMS + s.Classes[1].ObjectiveSlope*200)
 		if tr.requests["late"].closedAtMS != 0 {
-			t.Fatalf("%s: ended in time", c.name)
+			t.Fatalf("%s: the request ended before it was late", c.name)
 		}
 		tr.advance(1000)
 		for i := range c.others {
@@ -61,13 +61,13 @@
 	}
 }
 
-// A tenant far over its quota must not take the capacity of others: its work is
+// A tenant far over its quota must not take the capacity of other tenants: its requests are
 // shed first.
 func TestTenantOverQuotaWeighsLess(t *testing.T) {
 	s := oneGateway()
 	s.Tenants, s.OverQuotaWeight = []Tenant{{RequestsPerSecond: 10}, {RequestsPerSecond: 10}}, 0.05
 	tr := newScenario(t, s, engines("a")...)
-	for range 400 { // 55 a second
+	for range 400 { // 55 requests per second
 		tr.gateway.demand.RecordDemand(0, 0)
 	}
 	for i := range 40 {
@@ -77,13 +77,13 @@
 	over, within := &request{class: &tr.gateway.classes[1], estimatedWorkMS: 100,
 		tenant: 0}, &request{class: &tr.gateway.classes[1], estimatedWorkMS: 300, tenant: 1}
 	if tr.gateway.weightPerWork(over) >= tr.gateway.weightPerWork(within) {
-		t.Error("work over its tenant's quota weighs more than work within")
+		t.Error("a request over its tenant's quota does not weigh less than a request within its quota")
 	}
 }
 
-// Where few more requests may be open, blocked ones are ended: dashboards too late
-// for any weight first, work in flight that is not idempotent never, and nothing
-// while there are few open requests.
+// When the number of open requests is close to its limit, blocked requests are ended:
+// dashboards that are too late to have any weight first, and never requests in flight that are
+// not idempotent. With few open requests, none is ended.
 func TestOpenRequestsAreShed(t *testing.T) {
 	settings := Settings{GatewayCount: 1, TickMS: 5, MaxAttempts: 5, CanCancel: true,
 		EngineKinds: []EngineKind{{Cores: 400}},
@@ -115,7 +115,7 @@
 			handle(float64(i), Event{Kind: RequestArrived, RequestID: fmt.Sprint(i), Class: class,
 				DeadlineAtMS: 9000, WorkMS: 50, Dataset: i})
 		}
-		// Some are answered, so that open requests have earned something.
+		// Some requests are served, so that the average weight of open requests is not zero.
 		for i := 1; i < 9; i++ {
 			handle(110, Event{Kind: AttemptEnded, RequestID: fmt.Sprint(i), Result: Served, ElapsedMS: 90,
 				RequestDone: true})
@@ -132,14 +132,15 @@
 		}
 		for id := range ended {
 			if i, _ := strconv.Atoi(id); i%9 == 0 && attemptCounts[id] > 0 {
-				t.Errorf("request %s was ended though it is in flight and not idempotent", id)
+				t.Errorf("request %s was ended although it is in flight and not idempotent", id)
 			}
 		}
 	}
 }
 
-// Shedding must not count on engines in slow start that can't take the request: work
-// would wait for them until it is late instead of being rejected early.
+// Shedding must not count threads of engines in slow start that can't take the request.
+// Otherwise requests would wait for these engines until they are late instead of being
+// rejected early.
 func TestExpectedThreadsLeaveOutSlowStart(t *testing.T) {
 	tr := newScenario(t, oneGateway(), EngineInfo{ID: "cold", StartedAtMS: 999}, EngineInfo{ID: "warm"})
 	for i := range 3 {
@@ -148,26 +149,26 @@
 	tr.advance(2 * sweepIntervalMS)
 	r := &request{class: &tr.gateway.classes[1], estimatedWorkMS: 9000}
 	if got, want := tr.gateway.expectedThreads(r), float64(tr.gateway.engineByID["warm"].limit.threads); got != max(want, 4) {
-		t.Errorf("counts on %v threads, want those of the warm engine, %v", got, want)
+		t.Errorf("expects %v threads, want %v, those of the warm engine", got, want)
 	}
 }
 
-// Where there are tenants, a request of none of them weighs as one over its quota;
-// where there are none, all weigh in full.
+// If tenants are configured, a request without a known tenant weighs as a request over its
+// quota. If no tenants are configured, all requests have their full weight.
 func TestRequestWithoutTenantWeighsAsOverQuota(t *testing.T) {
 	cases := []struct {
 		name    string
 		tenants []Tenant
 		tenant  int
-		want    float64 // part within the quota
+		want    float64 // fraction of the tenant's requests within the quota
 	}{
-		{"within", []Tenant{{RequestsPerSecond: 10}}, 0, 1},
+		{"within quota", []Tenant{{RequestsPerSecond: 10}}, 0, 1},
 		{"no quota", []Tenant{{}}, 0, 1},
-		{"of no tenant", []Tenant{{RequestsPerSecond: 10}}, NoTenant, 0},
-		{"of no tenant, beside one without a quota", []Tenant{{}}, NoTenant, 0},
-		{"of one that does not exist", []Tenant{{RequestsPerSecond: 10}}, 1, 0},
-		{"no tenants at all", nil, NoTenant, 1},
-		{"no tenants at all, and one is named", nil, 0, 1},
+		{"no tenant named", []Tenant{{RequestsPerSecond: 10}}, NoTenant, 0},
+		{"no tenant named, and the only tenant has no quota", []Tenant{{}}, NoTenant, 0},
+		{"unknown tenant", []Tenant{{RequestsPerSecond: 10}}, 1, 0},
+		{"no tenants configured", nil, NoTenant, 1},
+		{"no tenants configured, but one is named", nil, 0, 1},
 	}
 	for _, c := range cases {
 		s := oneGateway()
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -6,7 +6,7 @@
 	"dewhill/internal/slowstart"
 )
 
-// sentWork is work that was sent to an engine.
+// sentWork is an amount of work that was sent to an engine.
 type sentWork struct {
 	atMS   float64
 	workMS float64
@@ -17,8 +17,8 @@
 	return e.StartedAtMS > 0 && g.nowMS < e.StartedAtMS+g.settings.SlowStartWindowMS
 }
 
-// effectiveCores is the engine's cores, less what its slowness or its warming up
-// takes off.
+// effectiveCores returns the engine's cores, reduced if the engine is slow or warming
+// up.
 func (g *Gateway) effectiveCores(e *engine) float64 {
 	if g.inSlowStart(e) {
 		return e.cores * e.health.relativeSpeed * g.slowStart(e).CapacityFraction(g.nowMS-e.StartedAtMS)
@@ -26,8 +26,9 @@
 	return e.cores * e.health.relativeSpeed
 }
 
-// slowStart is the engine as its slow start sees it. Who shares its budget is by
-// the configuration, as a gateway that is not heard may send all the same.
+// slowStart returns the engine's parameters for slow start. The gateways that share its
+// budget are those of the configuration, not those alive: a gateway from which no
+// message is received may still be sending requests.
 func (g *Gateway) slowStart(e *engine) *slowstart.Engine {
 	s := &slowstart.Engine{
 		ID:               e.ID,
@@ -51,8 +52,8 @@
 	return s
 }
 
-// slowStartAdmits reports whether the request fits this gateway's part of what an
-// engine that warms up may get within any overload window.
+// slowStartAdmits reports whether the request fits this gateway's share of the work that
+// an engine in slow start may get within any overload window.
 func (g *Gateway) slowStartAdmits(r *request, e *engine) bool {
 	sentSince := func(ageMS float64) float64 { return e.sentSince(e.StartedAtMS + ageMS) }
 	ageMS := g.nowMS - e.StartedAtMS
@@ -60,19 +61,20 @@
 	return g.slowStart(e).Admits(ageMS, g.slowStartWorkMS(r), gatewayStartedAtAgeMS, sentSince)
 }
 
-// slowStartWorkMS is what a request counts for at an engine that warms up.
+// slowStartWorkMS returns the work that a request counts for at an engine in slow start.
 func (g *Gateway) slowStartWorkMS(r *request) float64 {
 	return max(r.averageWorkMS(), g.workMS(r))
 }
 
-// recordSlowStartSend records a request that goes to an engine that warms up.
+// recordSlowStartSend records a request that is sent to an engine in slow start.
 func (g *Gateway) recordSlowStartSend(r *request, e *engine) {
 	expired := func(s sentWork) bool { return s.atMS < g.nowMS-g.settings.OverloadWindowMS }
 	e.slowStartSends = slices.DeleteFunc(e.slowStartSends, expired)
 	e.slowStartSends = append(e.slowStartSends, sentWork{g.nowMS, g.slowStartWorkMS(r)})
 }
 
-// sentSince is the work that was sent while the engine warmed up, from a time on.
+// sentSince returns the work that was sent to the engine during its slow start, from a
+// time on.
 func (e *engine) sentSince(fromMS float64) (workMS float64) {
 	for _, s := range e.slowStartSends {
 		if s.atMS >= fromMS {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// The first burst after a start, dashboards too, stays in the slow-start budget, also
-// when the restart shows only in a new start time, and all engines warm up.
+// The first burst of work to engines that have just started, dashboards included, stays within
+// the slow-start budget, although only a new start time shows the restart and all engines are
+// warming up.
 func TestSlowStartLimitsWork(t *testing.T) {
 	for _, gateways := range []int{1, 3, 8} {
 		s := oneGateway()
@@ -19,18 +20,17 @@
 		tr.handle(Event{Kind: EndpointUpdate, Engines: fresh})
 		for i := range 400 {
 			tr.arrive(fmt.Sprint(i), 0, 100, 1900)
-			tr.advance(5) // the rule checker adds up what went to each
+			tr.advance(5) // the rule checker sums the work sent to each engine
 		}
 		if len(tr.starts) == 0 || len(tr.starts) > 300 {
-			t.Errorf("%d gateways: %d sent of 400", gateways, len(tr.starts))
+			t.Errorf("%d gateways: %d attempts for 400 requests, want 1 to 300", gateways, len(tr.starts))
 		}
 	}
 }
 
-// Many gateways share the slow-start budget of an engine in rotation: the sum over
-// all of them stays in the budget in every window, and work gets there. Lists and
-// starts are late by different times, and so are the rounds in which each gateway
-// acts.
+// Many gateways share the slow-start budget of an engine in rotation: the work that all of them
+// send stays within the budget in every window, and some work is sent. Endpoint lists, starts
+// and the rounds in which each gateway acts are delayed by different times.
 func TestSlowStartBudgetIsSharedByGateways(t *testing.T) {
 	s := oneGateway()
 	s.GatewayCount = 75
@@ -45,24 +45,24 @@
 		slices.SortFunc(list, func(a, b sentWork) int { return cmp.Compare(a.atMS, b.atMS) })
 		checkSlowStartBudget(t, s, id, list)
 		if len(list) < 40 {
-			t.Errorf("only %d sent to %s", len(list), id)
+			t.Errorf("%d requests sent to %s, want at least 40", len(list), id)
 		}
 	}
 	if len(sent) < 4 {
-		t.Errorf("work went to %d engines of 4", len(sent))
+		t.Errorf("work went to %d engines, want 4", len(sent))
 	}
 }
 
-// startedAtMS is when the engines of the fleet test started.
+// startedAtMS is the start time of the engines in TestSlowStartBudgetIsSharedByGateways.
 const startedAtMS = 1000.0
 
-// sendToStartingEngines lets one gateway find four engines that have just started,
-// serves what it sends them at once, and adds it to what they were sent.
+// sendToStartingEngines gives one gateway four engines that have just started, ends each attempt
+// on them at once as served, and adds the work sent to each engine to sent.
 func sendToStartingEngines(t *testing.T, s Settings, sent map[string][]sentWork) {
 	t.Helper()
 	worksMS := []float64{150, 3000} // by class
 	tr := newScenario(t, s, engines("w")...)
-	tr.settings.SlowStartWindowMS = 0 // the rule checker of one gateway knows only of even quotas
+	tr.settings.SlowStartWindowMS = 0 // the rule checker of one gateway assumes even quotas
 	rng := rand.New(rand.NewPCG(uint64(s.GatewayIndex), 3))
 	tr.advance(rng.Float64() * 3000)
 	var starting []EngineInfo
@@ -84,15 +84,15 @@
 	}
 }
 
-// checkSlowStartBudget checks what an engine was sent, in order of time, within any
-// overload window while it warms up.
+// checkSlowStartBudget checks the work sent to an engine, in order of time, within any overload
+// window while the engine warms up.
 func checkSlowStartBudget(t *testing.T, s Settings, id string, list []sentWork) {
 	t.Helper()
-	maxWorkMS := func(atMS float64) float64 { // of the least capacity the engine may have
+	maxWorkMS := func(atMS float64) float64 { // for the least capacity that the engine may have
 		progress := (1 - s.SlowStartInitialFraction) * (atMS - startedAtMS) / s.SlowStartWindowMS
 		return s.OverloadMultiple * 0.85 * 16 * (s.SlowStartInitialFraction + progress) * s.OverloadWindowMS
 	}
-	first := 0 // in the window
+	first := 0 // of the window
 	totalMS := 0.0
 	for _, w := range list {
 		if w.atMS >= startedAtMS+s.SlowStartWindowMS {
@@ -103,7 +103,8 @@
 			totalMS -= list[first].workMS
 		}
 		if limit := maxWorkMS(w.atMS - s.OverloadWindowMS/2); totalMS > limit {
-			t.Errorf("%.0f of work to %s in slow start by %.0f, at most %.0f", totalMS, id, w.atMS, limit)
+			t.Errorf("%.0f ms of work sent to %s in slow start by %.0f ms, want at most %.0f ms", totalMS, id,
+				w.atMS, limit)
 		}
 	}
 }
--- a/control/supervision.go
+++ b/control/supervision.go
@@ -3,30 +3,29 @@
 import "math"
 
 const (
-	// Part of its objective that a dashboard waits for an engine before it is rejected.
+	// Fraction of its objective that a dashboard waits for an engine before it is rejected.
 	maxDashboardWaitFraction = 0.3
 
 	// Limits on the age of an attempt, as multiples of its expected duration.
-	lostResponseFactor = 8.0   // its response counts as lost
-	minRunawayFactor   = 1.6   // it may have a bad plan
-	maxRunawayFactor   = 3.0   // it has
-	runawayGraceMS     = 100.0 // past each limit before it counts
+	lostResponseFactor = 8.0   // above it the response counts as lost
+	minRunawayFactor   = 1.6   // least limit above which a first attempt may count as having a bad plan
+	maxRunawayFactor   = 3.0   // limit above which it does, however much durations vary
+	runawayGraceMS     = 100.0 // time by which the age must exceed each limit
 
-	runawayDeviations     = 4   // mean deviations over the mean, as a transport judges a lost packet
-	minRunawayRemaining   = 1.5 // expected durations that it still needs for a retry to pay
-	minRemainingDivisor   = 10  // of the expected duration: an attempt has so much left at the least
-	missedStatusIntervals = 2.5 // in a row, after which the response to an attempt counts as lost
+	runawayDeviations     = 4   // mean deviations above the mean, as in TCP's retransmission time-out
+	minRunawayRemaining   = 1.5 // expected durations that an attempt must still need for a retry to pay off
+	minRemainingDivisor   = 10  // an attempt is assumed to need at least its expected duration over this
+	missedStatusIntervals = 2.5 // consecutive missed intervals after which the response counts as lost
 )
 
-// attemptTiming is how long an attempt has been in flight, and how long it was
-// expected to be.
+// attemptTiming is how long an attempt has been in flight and its expected duration.
 type attemptTiming struct {
 	ageMS      float64
 	expectedMS float64
 }
 
-// supervise checks an open request, or one with attempts in flight, and reports
-// whether to keep it.
+// supervise checks a request that is open or has attempts in flight, and reports whether
+// to keep it.
 func (g *Gateway) supervise(r *request) bool {
 	if !r.streaming && g.deadlineIsNear(r) {
 		g.endRequest(r, NearDeadline)
@@ -51,14 +50,15 @@
 	return false
 }
 
-// dashboardWaitedTooLong reports whether a dashboard is still queued for want of an
-// engine, with little of its objective left.
+// dashboardWaitedTooLong reports whether a dashboard is still queued, as no engine can
+// take it, and has used up the part of its objective that it may wait.
 func (g *Gateway) dashboardWaitedTooLong(r *request) bool {
 	return r.queued && r.class.isDashboard &&
 		g.nowMS > r.arrivedAtMS+maxDashboardWaitFraction*r.class.LatencyObjectiveMS
 }
 
-// observeAttempt learns from an attempt in flight about its class and its engine.
+// observeAttempt updates the state of an attempt's class and engine while the attempt is
+// in flight.
 func (g *Gateway) observeAttempt(r *request, a *attempt, timing attemptTiming) {
 	a.blockedByLoad = a.blockedByLoad || r.class.BlockedByLoads && g.runsLoad(a.engine, r.dataset)
 	if !r.class.isDashboard {
@@ -71,7 +71,7 @@
 	if r.closed || a.blockedByLoad || !g.isUnresponsive(a) || timing.ageMS <= timeoutMS {
 		return
 	}
-	// A single one may only have lost its response.
+	// A single unresponsive dashboard may only have lost its response.
 	health := &a.engine.health
 	health.unresponsiveDashboards++
 	confirmed := timing.ageMS > timeoutMS+r.class.LatencyObjectiveMS
@@ -80,8 +80,8 @@
 	}
 }
 
-// cancelIfNotWorthwhile cancels an attempt that holds threads for too little, or that
-// another attempt would overtake.
+// cancelIfNotWorthwhile cancels an attempt that is worth too little for the threads it
+// holds, or that another attempt would probably overtake.
 func (g *Gateway) cancelIfNotWorthwhile(r *request, index int, timing attemptTiming) {
 	a := &r.attempts[index]
 	switch {
@@ -91,28 +91,28 @@
 	case g.shouldRetryElsewhere(r, a, timing) && g.mayRetry(r):
 		g.cancelAttempt(r, index, UnresponsiveAttempt)
 	case g.responseLost(r, timing) && len(g.keys.requests[r.key]) > 1:
-		// The others of its key wait for nothing.
+		// The other requests of the key would wait for an attempt that has ended.
 		g.cancelAttempt(r, index, ResponseLost)
 		g.endRequest(r, ResponseLost)
 	}
 }
 
-// isLateAtLimit reports whether the attempt is of a late dashboard, and its
-// engine runs as many dashboards as it may: others need its threads.
+// isLateAtLimit reports whether the attempt is of a late dashboard and its engine has
+// reached its limit of dashboards: others need its threads.
 func (g *Gateway) isLateAtLimit(r *request, a *attempt) bool {
 	return r.class.isDashboard && g.nowMS > g.objectiveAtMS(r) &&
 		float64(a.engine.load.dashboardThreads) >= g.dashboardConcurrencyLimit(r.class, a.engine)
 }
 
-// responseLost reports whether the response to a request that must not be repeated
-// is most likely lost.
+// responseLost reports whether the response to a request that must not be repeated is
+// most likely lost.
 func (g *Gateway) responseLost(r *request, timing attemptTiming) bool {
 	return r.class.Idempotency == NotIdempotent &&
 		timing.ageMS > lostResponseFactor*timing.expectedMS+runawayGraceMS
 }
 
-// shouldRetryElsewhere reports whether another attempt would serve the request
-// sooner: the engine is ejected, the response is lost, or the plan is bad.
+// shouldRetryElsewhere reports whether another attempt would serve the request sooner:
+// the engine is ejected, the response is lost, or the attempt has a bad plan.
 func (g *Gateway) shouldRetryElsewhere(r *request, a *attempt, timing attemptTiming) bool {
 	if g.nowMS+timing.expectedMS >= r.deadlineAtMS || r.class.Idempotency == NotIdempotent {
 		return false
@@ -128,15 +128,15 @@
 	return g.statusStopped(a) || r.class.Idempotency == Idempotent && g.isRunaway(r, a, timing)
 }
 
-// statusStopped reports whether an attempt's status reports have stopped, where
-// they come: it has ended and its response is lost.
+// statusStopped reports whether an engine that sends status reports has stopped sending
+// them for the attempt: the attempt has ended and its response is lost.
 func (g *Gateway) statusStopped(a *attempt) bool {
 	intervalMS := g.settings.ProgressIntervalMS
 	return intervalMS > 0 && g.nowMS-max(a.lastStatusAtMS, a.startedAtMS) > missedStatusIntervals*intervalMS
 }
 
-// isRunaway reports whether an attempt takes, or by its progress will take, far
-// longer than others: a bad plan. The limit doubles with each attempt.
+// isRunaway reports whether an attempt takes far longer than others, or will do so
+// according to its progress, which means a bad plan. The limit doubles with each attempt.
 func (g *Gateway) isRunaway(r *request, a *attempt, timing attemptTiming) bool {
 	factor := 1 + runawayDeviations*g.estimates.slowdownDeviation.value
 	factor = min(max(factor, minRunawayFactor), maxRunawayFactor)
--- a/control/supervision_test.go
+++ b/control/supervision_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// An attempt with a bad plan is cancelled and retried on another engine.
+// An attempt with a bad plan is cancelled and retried on another engine, with and without
+// progress reports.
 func TestRunawayAttemptIsRetried(t *testing.T) {
 	for _, reported := range []bool{false, true} {
 		tr := newScenario(t, oneGateway(), engines("a", "b")...)
@@ -12,7 +13,7 @@
 		wait := 600.0
 		if reported {
 			tr.handle(Event{Kind: AttemptProgress, RequestID: "r", Engine: first, Progress: 0.05})
-			wait = 30 // four seconds in all, by its progress
+			wait = 30 // by its progress, the attempt takes four seconds in all
 		}
 		tr.advance(wait)
 		if countActions(tr.actions, CancelAttempt) != 1 {
@@ -25,8 +26,8 @@
 	}
 }
 
-// A load whose response is lost must not keep the others of its key until its
-// deadline; with none waiting it is left alone, as it may only be slow.
+// A load whose response is lost must not block the other requests of its key until its deadline.
+// If none waits, the load is left alone, as it may only be slow.
 func TestLostLoadReleasesItsKey(t *testing.T) {
 	s := oneGateway()
 	s.Classes[2].Idempotency = NotIdempotent
@@ -40,27 +41,28 @@
 		}
 		tr.advance(2 * sweepIntervalMS)
 		if len(tr.finals) != 0 {
-			t.Errorf("%v after %.0f ms", tr.finals, tr.nowMS)
+			t.Errorf("final answers %v by %.0f ms, want none", tr.finals, tr.nowMS)
 		}
 		tr.advance(runawayGraceMS + 2*sweepIntervalMS)
 		if !followed {
 			if len(tr.finals) != 0 {
-				t.Errorf("ended though no other request of its key waits: %v", tr.finals)
+				t.Errorf("ended although no other request of its key waits: %v", tr.finals)
 			}
 			continue
 		}
 		if len(tr.finals) != 1 || tr.finals[0].RequestID != "first" || tr.finals[0].Kind != FailRequest || countActions(tr.actions, CancelAttempt) != 1 {
-			t.Fatalf("final answers %v, %d cancels", tr.finals, countActions(tr.actions, CancelAttempt))
+			t.Fatalf("final answers %v and %d cancelled attempts, want the first request failed and 1 cancelled",
+				tr.finals, countActions(tr.actions, CancelAttempt))
 		}
 		tr.endAttempt("first", Cancelled)
 		tr.advance(tr.settings.KeySettleMS + 2*sweepIntervalMS)
 		if second := tr.gateway.requestByID["second"]; len(second.attempts) != 1 {
-			t.Errorf("the next of its key has %d attempts", len(second.attempts))
+			t.Errorf("the next request of the key has %d attempts, want 1", len(second.attempts))
 		}
 	}
 }
 
-// An attempt whose status reports have stopped is retried: its response is lost.
+// An attempt is retried once its status reports have stopped, as its response is lost.
 func TestAttemptWithoutStatusIsRetried(t *testing.T) {
 	s := manyGateways()
 	s.GatewayCount = 1
@@ -71,7 +73,7 @@
 		tr.handle(Event{Kind: AttemptBlocked, RequestID: "r", BlockedOn: BlockedOnMemory})
 	}
 	if countActions(tr.actions, CancelAttempt) != 0 {
-		t.Fatal("cancelled while status reports came")
+		t.Fatal("cancelled although status reports arrived")
 	}
 	tr.advance(missedStatusIntervals*s.ProgressIntervalMS + 100)
 	if countActions(tr.actions, CancelAttempt) != 1 {
--- a/control/threadlimit.go
+++ b/control/threadlimit.go
@@ -3,51 +3,56 @@
 import "math"
 
 const (
-	// dashboardNeighbors is the model's divisor of the integral gain: how many
-	// secondary threads a dashboard stands beside.
+	// dashboardNeighbors is n in the controller's gain, KI = cores / (R * n): the number
+	// of secondary threads that the model assumes to run beside a dashboard.
 	dashboardNeighbors = 3.0
 
-	dashboardsPerInterval = 10     // that close a control interval
-	maxIntervalMS         = 5000.0 // after which an interval closes with what it has
+	dashboardsPerInterval = 10     // number of dashboards that closes a control interval
+	maxIntervalMS         = 5000.0 // time after which an interval closes with fewer
 
-	// Past this many secondary threads a core, of all gateways, engines spill,
-	// thrash and do less.
+	// Secondary threads per core, of all gateways together, above which engines spill,
+	// thrash and lose throughput.
 	maxSecondaryThreadsPerCore = 1.0
 
-	// A gateway's ceiling over its quota, as arrivals are never even.
+	// Factors by which a gateway's thread limit may exceed its quota, as arrivals are
+	// never even.
 	demandQuotaSlack = 1.3
-	evenQuotaSlack   = 2.5 // where no demand is gossiped and some gateways have several times the mean
+	evenQuotaSlack   = 2.5 // without gossip of demand, when some gateways have several times the mean
 
-	minDemandQuotaFraction = 0.5   // of an even quota
-	headroomReportMaxAgeMS = 500.0 // how long a load report proves headroom
+	minDemandQuotaFraction = 0.5   // least quota by demand, as a fraction of an even quota
+	headroomReportMaxAgeMS = 500.0 // age up to which a load report proves headroom
+
+	// The limit of dashboards in flight is this fraction of the dashboards done within one
+	// objective. Where the limit is a few threads per gateway, this many standard
+	// deviations (square roots of the limit) are added for bursts.
+	objectiveUtilization = 0.6
+	burstDeviations      = 1.0
 
-	objectiveUtilization  = 0.6 // part of the dashboards done within an objective that may be in flight
-	burstDeviations       = 1.0 // over that limit where it is a few threads a gateway
 	dashboardRateWindowMS = 1000.0
 )
 
 // threadLimit is the state of the integral controller that limits the threads of
-// secondary work on an engine, or on all engines of a kind together.
+// secondary work on one engine, or on all engines of a kind together.
 //
-// Where an engine has less than a core for each gateway that uses it, this
-// gateway's work alone says little about the engine. Its kind then has one
-// limit, which stands for the threads of all gateways and is compared with load
-// reports.
+// Where an engine has less than one core for each gateway that uses it, one gateway's own
+// attempts say little about the engine. All engines of the kind then share one limit. The
+// shared limit stands for the threads of all gateways on an engine and is compared with
+// load reports.
 type threadLimit struct {
 	threads     int     // C, the limit
-	errorSumMS  float64 // E, the integral of objective less latency
+	errorSumMS  float64 // E, the integral of objective minus latency
 	interval    controlInterval
 	dashboards  dashboardRate
-	listedCores float64 // of its available engines
+	listedCores float64 // cores of the available engines under this limit
 }
 
-// controlInterval is what was seen since the limit last moved.
+// controlInterval holds the samples since the limit was last updated.
 type controlInterval struct {
 	startedAtMS    float64
 	samples        int // dashboards
 	latencySumMS   float64
 	objectiveSumMS float64
-	demandUnmet    bool // queued work found no headroom
+	demandUnmet    bool // queued requests found no headroom
 }
 
 // dashboardRate is the throughput of dashboards.
@@ -58,7 +63,8 @@
 	updatedAtMS     float64
 }
 
-// update averages the throughput, once a sweep.
+// update updates the average throughput. It has an effect once per sweep, also for a
+// limit that several engines share.
 func (d *dashboardRate) update(nowMS float64) {
 	if d.updatedAtMS == nowMS {
 		return
@@ -69,8 +75,9 @@
 	d.updatedAtMS = nowMS
 }
 
-// initThreadLimit gives a new engine its own limit or that of its kind, and starts
-// it at this gateway's quota of the engine.
+// initThreadLimit gives a new engine a limit of its own or the limit of its kind. A limit
+// of its own starts at this gateway's quota of the engine, a shared limit at the
+// engine's cores.
 func (g *Gateway) initThreadLimit(e *engine, kind *kindState) {
 	startThreads := e.cores * g.engineQuota(e)
 	e.sharesThreadLimit = g.quotaIsBelowOneCore(e) && g.settings.CanProbe && g.settings.LoadReportsInProbes
@@ -86,15 +93,14 @@
 	e.limit.interval.startedAtMS = g.nowMS
 }
 
-// roundThreads rounds half up, to one at the least.
+// roundThreads rounds half up, and returns at least 1.
 func roundThreads(x float64) int { return int(max(1, math.Floor(x+0.5))) }
 
-// quotaIsBelowOneCore reports whether an even quota of the engine is less than a
-// core.
+// quotaIsBelowOneCore reports whether an even quota of the engine is less than one core.
 func (g *Gateway) quotaIsBelowOneCore(e *engine) bool { return e.cores < g.gatewaysUsing(e) }
 
-// engineQuota is this gateway's part of the engine, from 0 to 1: by demand where
-// peers tell theirs, else even.
+// engineQuota returns this gateway's share of the engine, from 0 to 1. It follows demand
+// where gateways gossip theirs, and is an even share otherwise.
 func (g *Gateway) engineQuota(e *engine) float64 {
 	even := 1 / g.gatewaysUsing(e)
 	if g.demand.QuotasAreEven(g.nowMS) {
@@ -103,8 +109,8 @@
 	return min(1, max(even*minDemandQuotaFraction, g.demand.Quota(g.nowMS, even)))
 }
 
-// integralGain is the controller's gain, KI = cores / (R * n), in threads for a
-// millisecond. R is the latency of dashboards at light load.
+// integralGain returns the controller's gain, KI = cores / (R * n), in threads per
+// millisecond. R is the latency of dashboards at light load, n is dashboardNeighbors.
 func (g *Gateway) integralGain(e *engine) float64 {
 	latencyMS := g.estimates.shortestObjectiveMS
 	if e.lightLoadLatencyMS.count >= dashboardsPerInterval {
@@ -113,8 +119,8 @@
 	return e.cores / (max(latencyMS, 1) * dashboardNeighbors)
 }
 
-// recordDashboardLatency adds a sample to the open interval, and closes it when
-// it has enough of them.
+// recordDashboardLatency adds a sample to the open interval, and closes the interval
+// when it has enough samples.
 func (g *Gateway) recordDashboardLatency(r *request, a *attempt, latencyMS float64) {
 	e := a.engine
 	interval := &e.limit.interval
@@ -133,8 +139,9 @@
 	}
 }
 
-// recordLightLoadLatency moves the gain of the engines of a kind. Their error sums
-// move against it, so that their limits stay (bumpless transfer).
+// recordLightLoadLatency adds a sample to the light-load latency of an engine kind,
+// which changes the gain of its engines. It scales their error sums inversely, so that
+// their limits do not change (bumpless transfer).
 func (g *Gateway) recordLightLoadLatency(e *engine, latencyMS float64) {
 	oldGain := g.integralGain(e)
 	e.lightLoadLatencyMS.add(latencyMS)
@@ -145,12 +152,12 @@
 	}
 }
 
-// closeControlInterval moves the limit: E += objective - latency, C = KI * E,
-// and opens the next interval.
+// closeControlInterval updates the limit, E += objective - latency and C = KI * E, and
+// opens the next interval.
 //
-// A surplus that no queued work was there to use is left out (conditional
-// integration). E is clamped and moves by one objective at most: otherwise a
-// pause would keep the limit low for long.
+// A surplus (latency below the objective) is not added unless queued work could have
+// used it (conditional integration). E is clamped and moves by at most one objective:
+// otherwise a pause would keep the limit low for long.
 func (g *Gateway) closeControlInterval(e *engine) {
 	gain := g.integralGain(e)
 	limit := e.limit
@@ -167,7 +174,7 @@
 	*interval = controlInterval{startedAtMS: g.nowMS}
 }
 
-// maxThreads is the ceiling of the engine's limit.
+// maxThreads returns the upper bound of the engine's limit.
 func (g *Gateway) maxThreads(e *engine) float64 {
 	if e.sharesThreadLimit {
 		return fullThreadsPerCore * e.cores
@@ -179,9 +186,9 @@
 	return maxSecondaryThreadsPerCore * g.effectiveCores(e) * min(1, g.engineQuota(e)*slack)
 }
 
-// sharedHeadroom is how many threads an engine has under the limit of its kind, by
-// its last load report and what this gateway started since: none without a fresh
-// report.
+// sharedHeadroom returns how many threads an engine has below the limit of its kind,
+// from its last load report and the threads that this gateway has started since. It is
+// zero without a recent report.
 func (g *Gateway) sharedHeadroom(e *engine) float64 {
 	if g.nowMS-e.load.reportedAtMS > headroomReportMaxAgeMS {
 		return 0
@@ -190,10 +197,10 @@
 	return limit - e.load.reportedThreads - e.load.threadsSinceReport
 }
 
-// dashboardConcurrencyLimit is how many dashboard threads may be in flight on an
-// engine. By Little's law, more than its throughput times the latency objective
-// would all finish late and be retried. The limit is at least this gateway's
-// quota of the engine's cores.
+// dashboardConcurrencyLimit returns how many dashboard threads may be in flight on an
+// engine. By Little's law, if more are in flight than the throughput times the latency
+// objective, all of them finish late and are retried. The limit is at least this
+// gateway's quota of the engine's cores.
 func (g *Gateway) dashboardConcurrencyLimit(c *class, e *engine) float64 {
 	quota := e.limit.listedCores * g.engineQuota(e)
 	sustainable := e.limit.dashboards.threadsPerMS * c.LatencyObjectiveMS * objectiveUtilization
@@ -204,8 +211,8 @@
 	return limit
 }
 
-// dashboardsAtLimit reports whether the engine has as many dashboard threads in
-// flight as it may.
+// dashboardsAtLimit reports whether the dashboard threads in flight on the engine have
+// reached their limit.
 func (g *Gateway) dashboardsAtLimit(c *class, e *engine) bool {
 	return float64(e.limit.dashboards.threadsInFlight) >= g.dashboardConcurrencyLimit(c, e)
 }
--- a/control/threadlimit_test.go
+++ b/control/threadlimit_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// intervalOf returns an interval of ten dashboards, with an objective of 500 ms and
-// this mean latency, in which queued work found no headroom.
+// intervalOf returns a control interval of ten dashboards with an objective of 500 ms and the
+// given mean latency, in which queued work found no headroom.
 func intervalOf(latencyMS float64) controlInterval {
 	return controlInterval{samples: 10, latencySumMS: 10 * latencyMS, objectiveSumMS: 10 * 500, demandUnmet: true}
 }
 
 func TestThreadLimitFollowsErrorIntegral(t *testing.T) {
-	// 8 cores, dashboardNeighbors 3, light-load latency not learned, so the objective
-	// of 500: KI = 8/1500. C starts at 8, so E at 1500; the ceiling is 1.0*8 = 8
-	// threads, E = 1500.
+	// The engine has 8 cores, dashboardNeighbors is 3, and no light-load latency is known yet, so
+	// the objective of 500 ms is used: KI = 8/1500. C starts at 8, so E starts at 1500. The upper
+	// bound is 1.0*8 = 8 threads, E = 1500.
 	tr := newScenario(t, oneGateway(), engines("a")...)
 	e := tr.gateway.engineByID["a"]
 	if e.limit.threads != 8 || e.limit.errorSumMS != 1500 {
@@ -23,8 +23,8 @@
 	}
 	for _, step := range []struct {
 		name    string
-		latency float64 // mean of the interval; 0: nothing answered
-		unmet   bool    // demand
+		latency float64 // mean latency of the interval; 0: no dashboard answered
+		unmet   bool    // demandUnmet
 		e       float64
 		c       int
 	}{
@@ -48,8 +48,8 @@
 	}
 }
 
-// A quiet time must not leave the limit far up, nor a slow one keep it at one for
-// long.
+// A period of low latency must not leave the limit far too high, and a period of high latency
+// must not keep it at one for long.
 func TestThreadLimitDoesNotWindUp(t *testing.T) {
 	tr := newScenario(t, oneGateway(), engines("a")...)
 	e := tr.gateway.engineByID["a"]
@@ -61,18 +61,18 @@
 		interval(50)
 	}
 	if e.limit.threads > 8 {
-		t.Errorf("C %d after a quiet time, at most 8", e.limit.threads)
+		t.Errorf("C %d after a period of low latency, want at most 8", e.limit.threads)
 	}
 	for range 100 {
 		interval(3000)
 	}
 	if e.limit.threads != 1 {
-		t.Errorf("C %d in a slow time, want 1", e.limit.threads)
+		t.Errorf("C %d in a period of high latency, want 1", e.limit.threads)
 	}
 	interval(100)
 	interval(100)
 	if e.limit.threads < 5 {
-		t.Errorf("C %d two intervals after a slow time, want 5 or more", e.limit.threads)
+		t.Errorf("C %d two intervals after a period of high latency, want 5 or more", e.limit.threads)
 	}
 }
 
@@ -93,13 +93,12 @@
 	since := e.limit.interval.startedAtMS
 	tr.advance(maxIntervalMS + 100)
 	if e.limit.interval.startedAtMS == since {
-		t.Error("interval still open after its longest time")
+		t.Error("interval still open after maxIntervalMS")
 	}
 }
 
-// Without gossip quotas are even, and a gateway with several times the mean demand
-// may use more than its quota while dashboards are in time; with gossip the quota
-// itself follows the demand.
+// Without gossip, quotas are even, and a gateway with several times the mean demand may exceed
+// its quota while dashboards meet their objective. With gossip, the quota itself follows demand.
 func TestThreadLimitCeilingFollowsQuota(t *testing.T) {
 	for _, gossips := range []bool{false, true} {
 		s := oneGateway()
@@ -111,25 +110,26 @@
 			e.limit.interval = intervalOf(50)
 			tr.gateway.closeControlInterval(e)
 		}
-		// An engine of 8 cores: an even quota is one thread.
+		// The engine has 8 cores, so an even quota is one thread.
 		want := evenQuotaSlack
 		if gossips {
 			want = demandQuotaSlack
 		}
 		if got := e.limit.errorSumMS * tr.gateway.integralGain(e); math.Abs(got-want) > 1e-9 {
-			t.Errorf("gossips %v: KI*E is %v, want %v", gossips, got, want)
+			t.Errorf("gossip %v: KI*E is %v, want %v", gossips, got, want)
 		}
 		for range 100 {
 			e.limit.interval = intervalOf(3000)
 			tr.gateway.closeControlInterval(e)
 		}
 		if e.limit.threads != 1 {
-			t.Errorf("gossips %v: C is %d while dashboards are slow", gossips, e.limit.threads)
+			t.Errorf("gossip %v: C is %d while dashboards are slow, want 1", gossips, e.limit.threads)
 		}
 	}
 }
 
-// The quota of a gateway follows what its peers gossip, once it can.
+// A gateway's quota follows the demand that its peers gossip, once demand has been summed for
+// long enough.
 func TestEngineQuotaFollowsDemand(t *testing.T) {
 	s := oneGateway()
 	s.GatewayCount = 4
@@ -140,17 +140,17 @@
 	if got := tr.gateway.engineQuota(tr.gateway.engines[0]); got != 0.25 {
 		t.Errorf("quota %v just after the start, want 0.25", got)
 	}
-	// Its own sums have grown from nothing, those of its peers for long.
+	// The gateway's own sums started at zero; those of its peers have grown for long.
 	tr.nowMS += 2000
 	tr.handle(Event{Kind: EndpointListFailed})
 	if got := tr.gateway.engineQuota(tr.gateway.engines[0]); math.Abs(got-0.75) > 1e-9 {
-		t.Errorf("quota %v when all had the time to gossip, want 0.75", got)
+		t.Errorf("quota %v once all gateways had time to gossip, want 0.75", got)
 	}
 }
 
-// In a large fleet a gateway's quota of an engine is by the gateways that use it, as
-// the endpoint list says last, whatever the fleet's size: their floors of one
-// thread add to no more than the engine's cores.
+// In a large fleet, a gateway's quota of an engine depends on the number of gateways that use the
+// engine by the latest endpoint list, not on the size of the fleet. The minimum limits of one
+// thread per gateway then sum to no more than the engine's cores.
 func TestEngineQuotaFollowsGatewaysUsingIt(t *testing.T) {
 	s := oneGateway()
 	s.GatewayCount = 80
@@ -160,31 +160,33 @@
 	a, b := tr.gateway.engineByID["a"], tr.gateway.engineByID["b"]
 	quota, index := tr.gateway.engineQuota(a), tr.gateway.slowStart(a).GatewayIndex
 	if quota != 0.25 || a.sharesThreadLimit || index != 3 {
-		t.Errorf("quota %v, shared limit %v, index %d where four use it", quota, a.sharesThreadLimit, index)
+		t.Errorf("quota %v, shared limit %v, index %d where four gateways use the engine", quota,
+			a.sharesThreadLimit, index)
 	}
 	if tr.gateway.engineQuota(b) != 1.0/80 || !b.sharesThreadLimit {
-		t.Errorf("quota %v, shared limit %v where all 80 use it", tr.gateway.engineQuota(b), b.sharesThreadLimit)
+		t.Errorf("quota %v, shared limit %v where all 80 gateways use the engine",
+			tr.gateway.engineQuota(b), b.sharesThreadLimit)
 	}
 	tr.handle(Event{Kind: EndpointUpdate, Engines: []EngineInfo{{ID: "a", GatewayCount: 2}}})
 	if tr.gateway.engineQuota(a) != 0.5 {
-		t.Errorf("quota %v once two use it", tr.gateway.engineQuota(a))
+		t.Errorf("quota %v once two gateways use the engine, want 0.5", tr.gateway.engineQuota(a))
 	}
 }
 
-// Dashboards that alone overload the engines are limited and rejected early.
+// Dashboards that would overload the engines on their own are limited, and rejected early.
 func TestDashboardConcurrencyIsLimited(t *testing.T) {
 	tr := newScenario(t, oneGateway(), engines("a")...)
 	for i := range 100 {
 		tr.arrive(fmt.Sprint(i), 0, 50, 2000)
 	}
 	if n := tr.gateway.engineByID["a"].load.dashboardThreads; n != 8 {
-		t.Errorf("%d dashboards in flight with nothing answered yet, want a thread a core", n)
+		t.Errorf("%d dashboards in flight before the first response, want 8, one thread per core", n)
 	}
 	tr.advance(500*maxDashboardWaitFraction + 2*sweepIntervalMS)
 	if k := countActions(tr.actions, RejectRequest); k != 92 {
 		t.Errorf("%d rejected, want 92", k)
 	}
-	// Late ones at a full engine are cancelled.
+	// Late dashboards on an engine at its limit are cancelled.
 	tr.advance(1000)
 	if k := countActions(tr.actions, CancelAttempt); k != 8 {
 		t.Errorf("%d cancelled, want 8", k)
