--- a/internal/engineclient/conformance_test.go
+++ b/internal/engineclient/conformance_test.go
@@ -61,7 +61,7 @@
 	loop.runUntilEnded(t, 1)
 	counters := p.Counters
 	if loop.ended["a"] != control.Served || counters.StatusReplies != 1 || counters.MalformedStatuses != 0 ||
-		counters.UnknownVerbs != 1 || counters.LateAnswers != 1 || counters.MalformedReplies != 0 {
+		counters.UnknownVerbs != 1 || counters.LateReplies != 1 || counters.MalformedReplies != 0 {
 		t.Errorf("%v, %+v", loop.ended, counters)
 	}
 }
--- a/internal/engineclient/counters.go
+++ b/internal/engineclient/counters.go
@@ -16,7 +16,7 @@
 	UnknownVerbs            int            `json:"UnknownWords"`  // replies with a verb the protocol does not have
 	StatusReplies           int            `json:"Notes"`         // passed on
 	MalformedStatuses       int            `json:"SpoiltNotes"`   // dropped
-	LateAnswers             int            `json:"LateAnswers"`   // replies to exchanges that had ended
+	LateReplies             int            `json:"LateAnswers"`   // replies to exchanges that had ended
 	PagesLost               int            `json:"PagesLost"`     // by the engine
 	Probes                  int            `json:"Probes"`        // sent
 	NoConnection            int            `json:"NoConn"`        // not allowed by the limit or the system
--- a/internal/engineclient/replies.go
+++ b/internal/engineclient/replies.go
@@ -52,7 +52,7 @@
 // one that crossed a cancel. The pages of a result are freed; else nothing
 // follows from it.
 func (p *Pool) handleLateReply(c *connection, r *reply) {
-	p.Counters.LateAnswers++
+	p.Counters.LateReplies++
 	if r.kind == replyResult && c.cancelled[r.id] && r.numberField(fieldPageCount) > 1 {
 		p.discardPages(c, r.id)
 	}
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -29,7 +29,7 @@
 // goroutine.
 type Transport struct {
 	MaxDatagramBytes int
-	AcceptStrangers  bool // senders that are not listed are delivered too
+	AcceptUnlisted  bool // senders that are not listed are delivered too
 
 	conn      *net.UDPConn
 	peers     []netip.AddrPort // by index
@@ -128,7 +128,7 @@
 		if !listed {
 			index = UnlistedPeer
 		}
-		if !listed && !t.AcceptStrangers || n > t.MaxDatagramBytes {
+		if !listed && !t.AcceptUnlisted || n > t.MaxDatagramBytes {
 			dropped()
 			continue
 		}
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -69,7 +69,7 @@
 		return err
 	}
 	f.peers.MaxDatagramBytes = max(f.peers.MaxDatagramBytes, options.MaxDatagramBytes)
-	f.peers.AcceptStrangers = len(options.Seeds) > 0
+	f.peers.AcceptUnlisted = len(options.Seeds) > 0
 	identity := cluster.Identity{
 		Name:  f.cfg.Name,
 		Index: selfIndex,
--- a/internal/server/peers_test.go
+++ b/internal/server/peers_test.go
@@ -39,7 +39,7 @@
 			if larger := transport.MaxDatagramBytes > peer.MaxDatagramBytes; larger != on {
 				t.Errorf("datagrams of %d bytes", transport.MaxDatagramBytes)
 			}
-			if transport.AcceptStrangers {
+			if transport.AcceptUnlisted {
 				t.Error("strangers are admitted")
 			}
 		})
