--- a/internal/adminapi/compat_test.go
+++ b/internal/adminapi/compat_test.go
@@ -29,14 +29,14 @@
 	return []byte(text)
 }
 
-func (c *recordingController) SetEngineOverride(engine string, out bool) error {
+func (c *recordingController) SetEngineOverride(engine string, disabled bool) error {
 	switch engine {
 	case "never":
 		return errors.New("never listed")
 	case "few":
 		return &RefusalError{Status: 503, Body: []byte(`{"kept":1,"needed":2}`)}
 	}
-	c.change = fmt.Sprintf("engine %s out %v", engine, out)
+	c.change = fmt.Sprintf("engine %s out %v", engine, disabled)
 	return nil
 }
 
@@ -56,11 +56,11 @@
 	}
 	for line := range strings.Lines(string(text)) {
 		parts := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
-		name, call, change, answer := parts[0], unquote(t, parts[1]), unquote(t, parts[2]), unquote(t, parts[3])
-		o := &recordingController{ready: !strings.Contains(name, "busy"), views: !strings.Contains(name, "alone")}
-		got := converse(t, o, call)
-		if got != answer || o.change != change {
-			t.Errorf("now\n%s\t%q\t%q\t%q", name, call, o.change, got)
+		name, requestText, change, want := parts[0], unquote(t, parts[1]), unquote(t, parts[2]), unquote(t, parts[3])
+		controller := &recordingController{ready: !strings.Contains(name, "busy"), views: !strings.Contains(name, "alone")}
+		got := roundTrip(t, controller, requestText)
+		if got != want || controller.change != change {
+			t.Errorf("now\n%s\t%q\t%q\t%q", name, requestText, controller.change, got)
 		}
 	}
 }
@@ -75,15 +75,15 @@
 }
 
 // converse makes a call and returns the answer.
-func converse(t *testing.T, o *recordingController, call string) string {
+func roundTrip(t *testing.T, controller *recordingController, requestText string) string {
 	t.Helper()
-	here, there := net.Pipe()
-	defer func() { _ = here.Close() }()
-	go New(o, 2).serveConn(there)
-	go func() { _, _ = io.WriteString(here, call) }()
-	answer, err := io.ReadAll(here)
+	clientSide, serverSide := net.Pipe()
+	defer func() { _ = clientSide.Close() }()
+	go New(controller, 2).serveConn(serverSide)
+	go func() { _, _ = io.WriteString(clientSide, requestText) }()
+	text, err := io.ReadAll(clientSide)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(answer)
+	return string(text)
 }
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -21,7 +21,7 @@
 const (
 	requestTimeout  = 3 * time.Second
 	responseTimeout = time.Second
-	minCallers      = 2
+	minIncomplete   = 2
 	lingerBytes     = 512 // read after the response, so that closing resets nothing
 )
 
@@ -54,21 +54,21 @@
 
 // Server serves operators' requests.
 type Server struct {
-	controller Controller
-	maxCallers int
-	mu         sync.Mutex
-	waiting    []net.Conn // callers whose request is not complete, oldest first
+	controller    Controller
+	maxIncomplete int
+	mu            sync.Mutex
+	incomplete    []net.Conn // callers whose request is not complete, oldest first
 }
 
 // New returns a server for at most maxCallers whose requests are incomplete.
-func New(controller Controller, maxCallers int) *Server {
-	return &Server{controller: controller, maxCallers: max(minCallers, maxCallers)}
+func New(controller Controller, maxIncomplete int) *Server {
+	return &Server{controller: controller, maxIncomplete: max(minIncomplete, maxIncomplete)}
 }
 
 // Serve accepts callers until the listener is closed.
 func (s *Server) Serve(listener net.Listener) {
 	handle := func(conn net.Conn) {
-		s.addWaiting(conn)
+		s.addIncomplete(conn)
 		go s.serveConn(conn)
 	}
 	ignore := func(error) {} // the caller waits in the backlog
@@ -77,20 +77,20 @@
 
 // addWaiting adds a caller. At the limit the oldest one is closed: callers that
 // connect and send nothing must not keep others out.
-func (s *Server) addWaiting(conn net.Conn) {
+func (s *Server) addIncomplete(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.waiting) >= s.maxCallers {
-		_ = s.waiting[0].Close()
-		s.waiting = s.waiting[1:]
+	if len(s.incomplete) >= s.maxIncomplete {
+		_ = s.incomplete[0].Close()
+		s.incomplete = s.incomplete[1:]
 	}
-	s.waiting = append(s.waiting, conn)
+	s.incomplete = append(s.incomplete, conn)
 }
 
-func (s *Server) removeWaiting(conn net.Conn) {
+func (s *Server) removeIncomplete(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.waiting = slices.DeleteFunc(s.waiting, func(other net.Conn) bool { return other == conn })
+	s.incomplete = slices.DeleteFunc(s.incomplete, func(other net.Conn) bool { return other == conn })
 }
 
 // serveConn answers one request. Deadlines that can't be set belong to a
@@ -99,16 +99,16 @@
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(requestTimeout))
 	request, err := readRequest(conn)
-	s.removeWaiting(conn)
+	s.removeIncomplete(conn)
 	if err != nil && !errors.Is(err, errMalformedRequest) {
 		return // the connection ended, or its request did not come in time
 	}
-	answer := response{status: statusBadRequest}
+	resp := response{status: statusBadRequest}
 	if err == nil {
-		answer = s.handle(request)
+		resp = s.handle(request)
 	}
 	_ = conn.SetDeadline(time.Now().Add(responseTimeout))
-	if err := answer.write(conn); err != nil {
+	if err := resp.write(conn); err != nil {
 		return
 	}
 	linger(conn)
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -44,7 +44,7 @@
 }
 
 // requests are requests with what they lead to.
-var requests = []struct {
+var requestCases = []struct {
 	text    string
 	status  int // 0: malformed
 	changes string
@@ -72,7 +72,7 @@
 // TestRequests checks that requests mean the same in whatever pieces they arrive.
 func TestRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		for _, c := range requests {
+		for _, c := range requestCases {
 			controller := &fakeController{}
 			got, err := readRequest(testprocess.NewChunkedConn(t, []byte(c.text)))
 			if errors.Is(err, errMalformedRequest) != (c.status == 0) {
@@ -81,9 +81,9 @@
 			if err != nil {
 				continue
 			}
-			answer := New(controller, 4).handle(got)
-			if answer.status != c.status || strings.Join(controller.changes, ", ") != c.changes {
-				t.Fatalf("%q: status %d, changes %q", c.text, answer.status, controller.changes)
+			resp := New(controller, 4).handle(got)
+			if resp.status != c.status || strings.Join(controller.changes, ", ") != c.changes {
+				t.Fatalf("%q: status %d, changes %q", c.text, resp.status, controller.changes)
 			}
 		}
 	})
@@ -94,9 +94,9 @@
 func TestNoViews(t *testing.T) {
 	for _, call := range []string{"GET /control/fleet", "POST /control/fleet", "GET /control/state", "POST /control/state"} {
 		method, path, _ := strings.Cut(call, " ")
-		answer := New(&fakeController{noViews: true}, 4).handle(request{method: method, path: path})
-		if answer.status != 404 {
-			t.Errorf("%s: status %d", call, answer.status)
+		resp := New(&fakeController{noViews: true}, 4).handle(request{method: method, path: path})
+		if resp.status != 404 {
+			t.Errorf("%s: status %d", call, resp.status)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 // changes no more than it says.
 func TestMalformedRequests(t *testing.T) {
 	var texts []string
-	for _, c := range requests {
+	for _, c := range requestCases {
 		texts = append(texts, c.text)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -123,7 +123,7 @@
 
 // TestSilentCallersAreClosed checks that at the limit of callers that send nothing
 // the oldest is closed, and the next one is answered.
-func TestSilentCallersAreClosed(t *testing.T) {
+func TestOldestIncompleteRequestIsClosed(t *testing.T) {
 	server := New(&fakeController{}, 3)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -131,25 +131,25 @@
 	}
 	defer func() { _ = listener.Close() }()
 	go server.Serve(listener)
-	var callers []net.Conn
+	var conns []net.Conn
 	for k := range 4 {
-		caller, err := net.Dial("tcp", listener.Addr().String())
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = caller.Close() }()
-		callers = append(callers, caller)
+		defer func() { _ = conn.Close() }()
+		conns = append(conns, conn)
 		if k < 3 {
 			continue
 		}
-		if _, err := io.WriteString(caller, requests[0].text); err != nil {
+		if _, err := io.WriteString(conn, requestCases[0].text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if answer, err := io.ReadAll(callers[3]); err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 200 ") {
-		t.Errorf("%q, %v", answer, err)
+	if resp, err := io.ReadAll(conns[3]); err != nil || !strings.HasPrefix(string(resp), "HTTP/1.1 200 ") {
+		t.Errorf("%q, %v", resp, err)
 	}
-	if n, err := callers[0].Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Errorf("the oldest caller: %d bytes, %v", n, err)
+	if n, err := conns[0].Read(make([]byte, 1)); n != 0 || err == nil {
+		t.Errorf("the oldest connection: %d bytes, %v", n, err)
 	}
 }
--- a/internal/discovery/compat_test.go
+++ b/internal/discovery/compat_test.go
@@ -33,22 +33,22 @@
 			{ID: "s-2", Address: "10.1.0.10:5050", Zone: "west", Kind: "small", Cell: 3, State: Removed, Size: 0.5, StartedAtMS: 1700000000456},
 		}}},
 	}}
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"stated length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body),
 		"chunks": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n",
 			10, body[:10], len(body)-10, body[10:]),
 	} {
-		here, there := net.Pipe()
+		clientSide, serverSide := net.Pipe()
 		polled := make(chan []byte, 1)
 		go func() {
 			// A request that is too short must not wait for the rest of it.
-			_ = there.SetReadDeadline(time.Now().Add(shortRequestTimeout))
+			_ = serverSide.SetReadDeadline(time.Now().Add(shortRequestTimeout))
 			got := make([]byte, len(request))
-			n, _ := io.ReadFull(there, got)
+			n, _ := io.ReadFull(serverSide, got)
 			polled <- got[:n]
-			_, _ = io.WriteString(there, answer)
+			_, _ = io.WriteString(serverSide, response)
 		}()
-		updates, err := poll(here, lineproto.New(here, 16<<10), "10.1.0.1:9000", 40, time.Minute)
+		updates, err := poll(clientSide, lineproto.New(clientSide, 16<<10), "10.1.0.1:9000", 40, time.Minute)
 		if got := <-polled; !bytes.Equal(got, request) {
 			t.Errorf("%s: polled with\n%q\nwant\n%q", name, got, request)
 		}
@@ -59,11 +59,11 @@
 		if err := updates.Validate(); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		again, err := json.Marshal(updates)
-		if err != nil || !bytes.Equal(again, body) {
-			t.Errorf("%s: written again %s, %v", name, again, err)
+		encoded, err := json.Marshal(updates)
+		if err != nil || !bytes.Equal(encoded, body) {
+			t.Errorf("%s: encoded as %s, %v", name, encoded, err)
 		}
-		_ = here.Close()
+		_ = clientSide.Close()
 	}
 }
 
--- a/internal/discovery/unknown_test.go
+++ b/internal/discovery/unknown_test.go
@@ -15,7 +15,7 @@
 
 // TestUnknownKeysAreSkipped checks that keys that the protocol doesn't name, at each level
 // of an answer, change nothing, and that an event without a list is one of another kind.
-func TestUnknownKeysAreSkipped(t *testing.T) {
+func TestUnknownKeysAreIgnored(t *testing.T) {
 	const known = `{"rev":2,"notices":[{"rev":1,"pool":{"whole":true,"hosts":[` +
 		`{"host":"a","dial":"127.0.0.1:1","health":"active","share":2}]}},{"rev":2}]}`
 	const more = `{"later":1,"rev":2,"notices":[{"rev":1,"odd":[1],"pool":{"seq":7,"later":{},"whole":true,"hosts":[` +
@@ -36,9 +36,9 @@
 
 // TestAnswersThatAreRefused checks that an answer of another status or form is refused as
 // a whole, and that the next poll asks for the same events again.
-func TestAnswersThatAreRefused(t *testing.T) {
+func TestRejectedResponses(t *testing.T) {
 	const good = `{"rev":1,"notices":[{"rev":1,"pool":{"hosts":[{"host":"a","health":"left"}]}}]}`
-	refused := []string{
+	rejected := []string{
 		"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\n\r\n{}",
 		"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nrubbish",
 		"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n{\"rev\":\"1\",\"notices\":",
@@ -46,13 +46,13 @@
 		"HTTP/1.1 200 OK\r\n\r\n" + good,
 		"READY - 0\r\n\r\n",
 	}
-	wanted := len(refused) + 1
+	wanted := len(rejected) + 1
 	polls := make(chan string, wanted)
-	answers := make(chan string, len(refused))
-	for _, answer := range refused {
-		answers <- answer
+	responses := make(chan string, len(rejected))
+	for _, response := range rejected {
+		responses <- response
 	}
-	close(answers)
+	close(responses)
 	addr := fakes.Listen(t, func(c net.Conn) {
 		defer func() { _ = c.Close() }()
 		in := lineproto.New(c, maxHeadBytes)
@@ -62,8 +62,8 @@
 				return
 			}
 			polls <- line
-			if answer, more := <-answers; more {
-				_, _ = fmt.Fprint(c, answer)
+			if response, more := <-responses; more {
+				_, _ = fmt.Fprint(c, response)
 				continue
 			}
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(good), good)
@@ -76,8 +76,8 @@
 		delivered += len(u.Updates)
 		cancel()
 	}, func(error) { faults++ })
-	if delivered != 1 || faults != len(refused) || len(polls) != wanted {
-		t.Errorf("%d events delivered after %d refused answers and %d polls", delivered, faults, len(polls))
+	if delivered != 1 || faults != len(rejected) || len(polls) != wanted {
+		t.Errorf("%d events delivered after %d rejected responses and %d polls", delivered, faults, len(polls))
 	}
 	for range min(wanted, len(polls)) {
 		line := <-polls
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -44,24 +44,24 @@
 // after it.
 func Watch(ctx context.Context, addr string, revision int64, deliver func(*Updates), report func(error)) {
 	w := watcher{
-		addr:            addr,
-		revision:        revision,
-		refusedRevision: noRevision,
-		deliver:         deliver,
-		report:          report,
-		backoff:         initialBackoff,
-		results:         make(chan pollResult),
+		addr:             addr,
+		revision:         revision,
+		rejectedRevision: noRevision,
+		deliver:          deliver,
+		report:           report,
+		backoff:          initialBackoff,
+		results:          make(chan pollResult),
 	}
 	w.run(ctx)
 }
 
 // watcher is the state of one Watch. Its fields belong to Watch's goroutine.
 type watcher struct {
-	addr            string
-	revision        int64 // of the last event that was delivered
-	refusedRevision int64 // revision after which a response was last refused
-	deliver         func(*Updates)
-	report          func(error)
+	addr             string
+	revision         int64 // of the last event that was delivered
+	rejectedRevision int64 // revision after which a response was last refused
+	deliver          func(*Updates)
+	report           func(error)
 
 	pending []*pollConn     // polls without a response, oldest first
 	results chan pollResult // unbuffered
@@ -213,8 +213,8 @@
 	if err == nil {
 		return nil
 	}
-	if w.refusedRevision != w.revision {
-		w.refusedRevision = w.revision
+	if w.rejectedRevision != w.revision {
+		w.rejectedRevision = w.revision
 		return err
 	}
 	w.report(fmt.Errorf("%w, listed twice: %d engines count as draining", err, updates.repair()))
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -63,7 +63,7 @@
 // or answers at once without news is watched all the same: each event is delivered
 // once, in order, and polls are spaced. What comes after the watch has ended is not
 // delivered.
-func TestWatchThroughDisorder(t *testing.T) {
+func TestWatchOrdersAndDeduplicates(t *testing.T) {
 	events := func(revision int, eventRevisions ...int) string {
 		updates := fakes.Updates{Revision: revision, Updates: []fakes.Update{}}
 		for _, r := range eventRevisions {
@@ -119,7 +119,7 @@
 // state, without an address or without an id is refused and asked for again; listed so
 // twice, that endpoint counts as draining, and the changes beside it and after it are
 // not lost.
-func TestInvalidEndpointHidesNothing(t *testing.T) {
+func TestInvalidEndpointDoesNotHideOthers(t *testing.T) {
 	const addr = "127.0.0.1:1"
 	updates := []fakes.Updates{
 		fakes.OneUpdate(1, false,
--- a/internal/engineclient/attempt.go
+++ b/internal/engineclient/attempt.go
@@ -32,7 +32,7 @@
 		priority:       s.Priority,
 		statement:      query.Statement,
 	}
-	ex.opening = command{exchange: ex}
+	ex.startCommand = command{exchange: ex}
 	p.Counters.Requests++
 	e.attempts[attemptKey{s.RequestID, s.Attempt}] = ex
 	p.openExchange(c, ex)
@@ -81,7 +81,7 @@
 	p.lastProbe++
 	p.Counters.Probes++
 	ex := &exchange{id: probeID(p.lastProbe), connection: c, startedMS: p.loop.Now(), isProbe: true}
-	ex.opening = command{line: probeLine(ex.id), exchange: ex}
+	ex.startCommand = command{line: probeLine(ex.id), exchange: ex}
 	p.openExchange(c, ex)
 	p.loop.After(probeTimeoutMS, func() {
 		if c.exchanges[ex.id] == ex {
--- a/internal/engineclient/conformance_test.go
+++ b/internal/engineclient/conformance_test.go
@@ -48,14 +48,14 @@
 
 // TestUnknownFieldsAreSkipped checks that fields of a reply that the protocol doesn't name
 // change nothing of what the others say, and that a reply to nobody ends nothing.
-func TestUnknownFieldsAreSkipped(t *testing.T) {
-	here, there := testprocess.ConnectedPair(t)
-	loop, p, c := newConnectedPool(here)
+func TestUnknownFieldsAreIgnored(t *testing.T) {
+	clientSide, engineSide := testprocess.ConnectedPair(t)
+	loop, p, c := newConnectedPool(clientSide)
 	p.StartAttempt(dispatch.StartAttempt{RequestID: "a", Engine: "s-1", DeadlineAtMS: 60000}, 0, query)
 	go p.readLoop(c)
 	go p.writeLoop(c)
-	_, _ = there.Read(make([]byte, 99))
-	_, _ = io.WriteString(there, "b LATER - 0\r\n\r\n"+
+	_, _ = engineSide.Read(make([]byte, 99))
+	_, _ = io.WriteString(engineSide, "b LATER - 0\r\n\r\n"+
 		"a EVENT note=share,num=0.5,later=1 0\r\n\r\n"+
 		"a ACK later=x,batches=1,cpu=12,used=64,odd= 6\r\nx\ty\tz\n\r\n")
 	loop.runUntilEnded(t, 1)
@@ -68,17 +68,17 @@
 
 // TestVerbsOfAnotherCommand checks that a verb that belongs to a probe ends no attempt:
 // the attempt is cancelled first, as after an unknown verb.
-func TestVerbsOfAnotherCommand(t *testing.T) {
+func TestProbeVerbCancelsAttempt(t *testing.T) {
 	for _, kind := range []replyKind{replyHealthy, replyUnhealthy} {
-		here, there := testprocess.ConnectedPair(t)
-		loop, p, c := newConnectedPool(here)
+		clientSide, engineSide := testprocess.ConnectedPair(t)
+		loop, p, c := newConnectedPool(clientSide)
 		p.StartAttempt(dispatch.StartAttempt{RequestID: "a", Engine: "s-1", DeadlineAtMS: 60000}, 0, query)
 		go p.writeLoop(c)
-		_ = there.SetReadDeadline(time.Now().Add(time.Minute))
+		_ = engineSide.SetReadDeadline(time.Now().Add(time.Minute))
 		received := make([]byte, 99)
-		_, _ = there.Read(received)
+		_, _ = engineSide.Read(received)
 		p.handleReply(c, &reply{id: "a", kind: kind, verb: "READY"})
-		n, _ := there.Read(received)
+		n, _ := engineSide.Read(received)
 		if got := string(received[:n]); got != "KILL a\r\n" || len(loop.ended) != 0 {
 			t.Errorf("kind %d: written %q, ended %v", kind, got, loop.ended)
 		}
@@ -88,7 +88,7 @@
 // TestRepliesThatCostTheConnection checks that a page without a result before it, a number
 // of pages that can't be, a field without a value and one that is there twice cost the
 // connection: nobody knows what else would come on it.
-func TestRepliesThatCostTheConnection(t *testing.T) {
+func TestMalformedRepliesCloseTheConnection(t *testing.T) {
 	for _, text := range []string{
 		"a BLOCK batch=1 6\r\nx\ty\tz\n\r\n",
 		"a ACK batches=2 6\r\nx\ty\tz\n\r\na BLOCK batch=2 6\r\nx\ty\tz\n\r\n",
@@ -101,13 +101,13 @@
 		"a ACK batches=1,batches=2 6\r\nx\ty\tz\n\r\n",
 		"a EVENT note=share,num=0.5,num=0.6 0\r\n\r\n",
 	} {
-		here, there := testprocess.ConnectedPair(t)
-		loop, p, c := newConnectedPool(here)
+		clientSide, engineSide := testprocess.ConnectedPair(t)
+		loop, p, c := newConnectedPool(clientSide)
 		p.StartAttempt(dispatch.StartAttempt{RequestID: "a", Engine: "s-1", DeadlineAtMS: 60000}, 0, query)
 		go p.readLoop(c)
 		go p.writeLoop(c)
-		_, _ = there.Read(make([]byte, 99))
-		_, _ = io.WriteString(there, text)
+		_, _ = engineSide.Read(make([]byte, 99))
+		_, _ = io.WriteString(engineSide, text)
 		for end := time.After(time.Minute); !c.closed; {
 			select {
 			case f := <-loop.posted:
@@ -130,9 +130,9 @@
 		pages  int
 		closed bool
 	}{{maxResultBytes / maxPageBytes, false}, {maxResultBytes/maxPageBytes + 1, true}} {
-		here, there := testprocess.ConnectedPair(t)
-		loop, p, conn := newConnectedPool(here)
-		go func() { _, _ = io.Copy(io.Discard, there) }()
+		clientSide, engineSide := testprocess.ConnectedPair(t)
+		loop, p, conn := newConnectedPool(clientSide)
+		go func() { _, _ = io.Copy(io.Discard, engineSide) }()
 		p.StartAttempt(dispatch.StartAttempt{RequestID: "a", Engine: "s-1", DeadlineAtMS: 60000}, 0, query)
 		go p.writeLoop(conn)
 		fields := map[string]string{"batches": fmt.Sprint(c.pages)}
@@ -163,7 +163,7 @@
 		p.SetEndpoint("s-1", "127.0.0.1:1", false, false)
 		e := p.engines["s-1"]
 		socket, _ := net.Pipe()
-		c := newUpConnection(e, socket)
+		c := newEstablishedConnection(e, socket)
 		e.connections = []*connection{c}
 		p.connectionCount = 1
 		p.Probe("s-1")
@@ -200,14 +200,14 @@
 func TestIdleConnectionsAreClosedBeforeTheEngineDoes(t *testing.T) {
 	const idleTimeoutMS = 15000
 	for _, busy := range []bool{false, true} {
-		here, _ := testprocess.ConnectedPair(t)
-		loop, p, c := newConnectedPool(here)
+		clientSide, _ := testprocess.ConnectedPair(t)
+		loop, p, c := newConnectedPool(clientSide)
 		p.options.IdleTimeout = idleTimeoutMS * time.Millisecond
 		c.idleSinceMS = loop.Now()
 		if busy {
 			p.StartAttempt(dispatch.StartAttempt{RequestID: "a", Engine: "s-1", DeadlineAtMS: 60000}, 0, query)
 		}
-		loop.now += idleFraction * idleTimeoutMS
+		loop.now += idleCloseFraction * idleTimeoutMS
 		p.sweep()
 		if c.closed {
 			t.Errorf("busy %v: closed after %v ms", busy, loop.now)
--- a/internal/engineclient/connection.go
+++ b/internal/engineclient/connection.go
@@ -26,13 +26,13 @@
 // connection is a connection to an engine. Its fields belong to the event loop,
 // except for socket, which its goroutines use, and writeStartedMS.
 type connection struct {
-	engine    *engine
-	addr      string
-	socket    net.Conn // nil until connected
-	commands  chan command
-	exchanges map[string]*exchange // open, by id
-	cancelled map[string]bool      // ids that were cancelled here: replies may still come
-	ended     map[string]bool      // ids that ended without a result: duplicates may still come
+	engine       *engine
+	addr         string
+	socket       net.Conn // nil until connected
+	commands     chan command
+	exchanges    map[string]*exchange // open, by id
+	cancelledIDs map[string]bool      // ids that were cancelled here: replies may still come
+	endedIDs     map[string]bool      // ids that ended without a result: duplicates may still come
 
 	idleSinceMS    float64 // when the last exchange ended
 	lastActivityMS float64 // when the engine last replied, or began to owe a reply
@@ -50,12 +50,12 @@
 
 func newConnection(e *engine) *connection {
 	return &connection{
-		engine:    e,
-		addr:      e.addr,
-		commands:  make(chan command, commandQueueLength),
-		exchanges: map[string]*exchange{},
-		cancelled: map[string]bool{},
-		ended:     map[string]bool{},
+		engine:       e,
+		addr:         e.addr,
+		commands:     make(chan command, commandQueueLength),
+		exchanges:    map[string]*exchange{},
+		cancelledIDs: map[string]bool{},
+		endedIDs:     map[string]bool{},
 	}
 }
 
@@ -66,14 +66,14 @@
 func (c *connection) idle() bool { return c.connected && len(c.exchanges) == 0 }
 
 // awaitsReply reports whether the engine may still have to reply.
-func (c *connection) awaitsReply() bool { return len(c.exchanges)+len(c.cancelled) > 0 }
+func (c *connection) awaitsReply() bool { return len(c.exchanges)+len(c.cancelledIDs) > 0 }
 
 // accepts reports whether a request with an id may be written. An id that is
 // open, cancelled or ended here must not be used again: a reply could belong to
 // either attempt.
-func (c *connection) accepts(id string) bool {
+func (c *connection) canSend(id string) bool {
 	usable := !c.closed && !c.writeFailed && c.addr == c.engine.addr
-	return usable && c.exchanges[id] == nil && !c.cancelled[id] && !c.ended[id]
+	return usable && c.exchanges[id] == nil && !c.cancelledIDs[id] && !c.endedIDs[id]
 }
 
 // preferredTo reports whether a request is better sent here than on another
@@ -105,7 +105,7 @@
 	ex.connection = c
 	c.exchanges[ex.id] = ex
 	if c.connected {
-		p.enqueue(c, ex.opening)
+		p.enqueue(c, ex.startCommand)
 	}
 }
 
@@ -130,7 +130,7 @@
 	var best, lastUnresponsive *connection
 	unresponsive := 0
 	for _, c := range e.connections {
-		if !c.accepts(id) || len(c.exchanges) >= p.options.StreamsPerConnection {
+		if !c.canSend(id) || len(c.exchanges) >= p.options.StreamsPerConnection {
 			continue
 		}
 		if p.unresponsive(c) {
@@ -159,7 +159,7 @@
 
 // dial opens a connection; nil if the pool is at its limit.
 func (p *Pool) dial(e *engine) *connection {
-	if p.connectionCount >= p.options.MaxConnections && !p.closeIdlest() {
+	if p.connectionCount >= p.options.MaxConnections && !p.closeLongestIdle() {
 		return nil
 	}
 	c := newConnection(e)
@@ -175,23 +175,23 @@
 
 // closeIdlest closes the connection that has been idle longest, and reports
 // whether there was one.
-func (p *Pool) closeIdlest() bool {
-	var idlest *connection
+func (p *Pool) closeLongestIdle() bool {
+	var longestIdle *connection
 	for _, e := range p.engines {
 		for _, c := range e.connections {
 			if p.writeTimedOut(c) {
 				p.closeConnection(c, errNotAccepting)
 				continue
 			}
-			if c.idle() && (idlest == nil || c.idleSinceMS < idlest.idleSinceMS) {
-				idlest = c
+			if c.idle() && (longestIdle == nil || c.idleSinceMS < longestIdle.idleSinceMS) {
+				longestIdle = c
 			}
 		}
 	}
-	if idlest == nil {
+	if longestIdle == nil {
 		return false
 	}
-	p.closeConnection(idlest, nil)
+	p.closeConnection(longestIdle, nil)
 	return true
 }
 
@@ -213,7 +213,7 @@
 	go p.readLoop(c)
 	go p.writeLoop(c)
 	for _, ex := range c.exchangesInOrder() {
-		p.enqueue(c, ex.opening)
+		p.enqueue(c, ex.startCommand)
 	}
 }
 
@@ -238,7 +238,7 @@
 func (p *Pool) goroutineDone(c *connection) {
 	c.goroutinesDone++
 	if c.goroutinesDone == goroutinesPerConnection {
-		p.settleExchanges(c)
+		p.endOpenExchanges(c)
 	}
 }
 
@@ -267,7 +267,7 @@
 		p.handleDescriptorShortage(c)
 	}
 	if !c.connected {
-		p.settleExchanges(c)
+		p.endOpenExchanges(c)
 	}
 	if c.engine.removed && len(c.engine.connections) == 0 {
 		delete(p.engines, c.engine.id)
@@ -295,7 +295,7 @@
 // settleExchanges ends what was open on a closed connection. What was not
 // written completely never ran; of the rest it is not known. A shortage of
 // descriptors here is not held against the engine.
-func (p *Pool) settleExchanges(c *connection) {
+func (p *Pool) endOpenExchanges(c *connection) {
 	for _, ex := range c.exchangesInOrder() {
 		p.Counters.LostWithConnection++
 		switch {
--- a/internal/engineclient/exchange.go
+++ b/internal/engineclient/exchange.go
@@ -19,16 +19,16 @@
 
 // exchange is an attempt or a probe that is open on a connection.
 type exchange struct {
-	id         string // of the request or probe
-	attempt    int
-	isProbe    bool
-	connection *connection
-	opening    command  // that starts it
-	request    *request // nil for a probe
-	startedMS  float64
-	writeByMS  float64 // it must not be written later; 0: any time
-	stage      atomic.Int32
-	cancelled  bool
+	id           string // of the request or probe
+	attempt      int
+	isProbe      bool
+	connection   *connection
+	startCommand command  // that starts it
+	request      *request // nil for a probe
+	startedMS    float64
+	writeByMS    float64 // it must not be written later; 0: any time
+	stage        atomic.Int32
+	cancelled    bool
 
 	acknowledged  bool     // the query is done; pages may be outstanding
 	pages         [][]byte // nil where a page is outstanding
@@ -87,8 +87,8 @@
 func (p *Pool) cancel(ex *exchange, result control.Result) {
 	c := ex.connection
 	ex.cancelled = true
-	c.cancelled[ex.id] = true
-	p.loop.After(staleReplyWindowMS, func() { delete(c.cancelled, ex.id) })
+	c.cancelledIDs[ex.id] = true
+	p.loop.After(staleReplyWindowMS, func() { delete(c.cancelledIDs, ex.id) })
 	line := cancelLine(ex.id)
 	if ex.acknowledged {
 		line = discardPagesLine(ex.id)
@@ -134,8 +134,8 @@
 	delete(c.engine.attempts, attemptKey{ex.id, ex.attempt})
 	mayBeAnswered := result != control.Served && !ex.cancelled && ex.stage.Load() != stageWithdrawn
 	if mayBeAnswered && !c.closed {
-		c.ended[ex.id] = true
-		p.loop.After(staleReplyWindowMS, func() { delete(c.ended, ex.id) })
+		c.endedIDs[ex.id] = true
+		p.loop.After(staleReplyWindowMS, func() { delete(c.endedIDs, ex.id) })
 	}
 	c.idleSinceMS = p.loop.Now()
 }
--- a/internal/engineclient/pool.go
+++ b/internal/engineclient/pool.go
@@ -61,9 +61,9 @@
 	// idleFraction of the idle timeout after which a connection is closed, before
 	// its engine does: of a request that meets the engine's close nobody could
 	// tell whether it ran.
-	idleFraction    = 0.6
-	writeTimeoutMS  = 5000.0
-	maxLoggedFaults = 200 // lines of a kind
+	idleCloseFraction = 0.6
+	writeTimeoutMS    = 5000.0
+	maxLoggedFaults   = 200 // lines of a kind
 )
 
 // Pool holds the connections to all engines. Its methods are called on the event
@@ -102,7 +102,7 @@
 			switch {
 			case p.writeTimedOut(c):
 				p.closeConnection(c, errNotAccepting)
-			case c.idle() && p.loop.Now()-c.idleSinceMS > idleFraction*float64(p.options.IdleTimeout.Milliseconds()):
+			case c.idle() && p.loop.Now()-c.idleSinceMS > idleCloseFraction*float64(p.options.IdleTimeout.Milliseconds()):
 				p.closeConnection(c, nil)
 			}
 		}
--- a/internal/engineclient/pool_test.go
+++ b/internal/engineclient/pool_test.go
@@ -40,7 +40,7 @@
 }
 
 // newUpConnection returns a connection that is up.
-func newUpConnection(e *engine, socket net.Conn) *connection {
+func newEstablishedConnection(e *engine, socket net.Conn) *connection {
 	c := newConnection(e)
 	c.socket = socket
 	c.connected = true
@@ -120,7 +120,7 @@
 	p := New(loop, Options{Classes: []string{"load"}, StreamsPerConnection: 32, MaxConnections: 4, IdleTimeout: time.Minute})
 	p.SetEndpoint("s-1", "127.0.0.1:1", false, false)
 	e := p.engines["s-1"]
-	c := newUpConnection(e, nc)
+	c := newEstablishedConnection(e, nc)
 	e.connections = []*connection{c}
 	p.connectionCount = 1
 	return loop, p, c
@@ -135,9 +135,9 @@
 // runs if it is cancelled or expires or its engine drains: its end is reported at once,
 // and its engine never sees it. What was being written is cancelled at the engine.
 func TestQueuedRequestIsWithdrawn(t *testing.T) {
-	here, there := net.Pipe() // a write waits until the other side reads
-	defer func() { _ = there.Close() }()
-	loop, p, c := newConnectedPool(here)
+	clientSide, engineSide := net.Pipe() // a write waits until the other side reads
+	defer func() { _ = engineSide.Close() }()
+	loop, p, c := newConnectedPool(clientSide)
 	go p.writeLoop(c)
 	start := func(id string, by float64) {
 		p.StartAttempt(dispatch.StartAttempt{RequestID: id, Engine: "s-1", DeadlineAtMS: 60000, WriteByMS: by, Priority: 1}, 0, query)
@@ -172,7 +172,7 @@
 		b := make([]byte, 4096)
 		n := 0
 		for !strings.Contains(string(b[:n]), "KILL a\r\n") {
-			k, err := there.Read(b[n:])
+			k, err := engineSide.Read(b[n:])
 			if n += k; err != nil {
 				break
 			}
@@ -191,16 +191,16 @@
 // TestEngineMovedWhileConnecting checks that an engine that has moved gets nothing on a
 // connection to its old address that comes up later.
 func TestEngineMovedWhileConnecting(t *testing.T) {
-	here, there := testprocess.ConnectedPair(t)
-	loop, p, c := newConnectedPool(here)
+	clientSide, engineSide := testprocess.ConnectedPair(t)
+	loop, p, c := newConnectedPool(clientSide)
 	c.connected = false
 	startAttempt(p, "a")
 	p.SetEndpoint("s-1", "127.0.0.1:2", false, false)
 	p.WithdrawUnwritten()
-	p.dialDone(c, here, nil)
-	_ = there.SetReadDeadline(time.Now().Add(time.Minute))
+	p.dialDone(c, clientSide, nil)
+	_ = engineSide.SetReadDeadline(time.Now().Add(time.Minute))
 	p.closeConnection(c, nil)
-	if n, err := there.Read(make([]byte, 99)); n != 0 || loop.ended["a"] != control.NotSent {
+	if n, err := engineSide.Read(make([]byte, 99)); n != 0 || loop.ended["a"] != control.NotSent {
 		t.Errorf("%d bytes, %v, %v", n, err, loop.ended)
 	}
 }
@@ -208,10 +208,10 @@
 // TestEngineClosedBeforeTheWrite checks that a request is not written to an engine that
 // has closed, even if that has not been read yet: it provably never ran.
 func TestEngineClosedBeforeTheWrite(t *testing.T) {
-	here, there := testprocess.ConnectedPair(t)
-	loop, p, c := newConnectedPool(here)
-	_ = there.Close()
-	for !lineproto.PeerClosed(here) {
+	clientSide, engineSide := testprocess.ConnectedPair(t)
+	loop, p, c := newConnectedPool(clientSide)
+	_ = engineSide.Close()
+	for !lineproto.PeerClosed(clientSide) {
 		time.Sleep(time.Millisecond)
 	}
 	startAttempt(p, "a")
@@ -227,13 +227,13 @@
 // TestReplyBeforeConnectionBreaks checks that a reply counts that came just before the
 // connection broke, although the next request found it broken before it was read.
 func TestReplyBeforeConnectionBreaks(t *testing.T) {
-	here, there := testprocess.ConnectedPair(t)
-	loop, p, c := newConnectedPool(&breakingConn{here, 1}) // the second write meets the break
+	clientSide, engineSide := testprocess.ConnectedPair(t)
+	loop, p, c := newConnectedPool(&breakingConn{clientSide, 1}) // the second write meets the break
 	startAttempt(p, "a")
 	go p.writeLoop(c)
-	_, _ = there.Read(make([]byte, 99))
-	_, _ = io.WriteString(there, "a ACK batches=1 6\r\nx\ty\tz\n\r\n")
-	_ = there.Close()
+	_, _ = engineSide.Read(make([]byte, 99))
+	_, _ = io.WriteString(engineSide, "a ACK batches=1 6\r\nx\ty\tz\n\r\n")
+	_ = engineSide.Close()
 	startAttempt(p, "b")
 	loop.posted <- <-loop.posted // the writer's end, before anything is read
 	go p.readLoop(c)
@@ -247,13 +247,13 @@
 // malformed reply, its attempts end only when the close has had time to arrive: until
 // then another attempt would be a second one in flight.
 func TestLocalCloseDelaysTheEnd(t *testing.T) {
-	here, there := testprocess.ConnectedPair(t)
-	loop, p, c := newConnectedPool(here)
+	clientSide, engineSide := testprocess.ConnectedPair(t)
+	loop, p, c := newConnectedPool(clientSide)
 	startAttempt(p, "a")
 	go p.readLoop(c)
 	go p.writeLoop(c)
-	_, _ = there.Read(make([]byte, 99))
-	_, _ = io.WriteString(there, "no answer at all\r\n")
+	_, _ = engineSide.Read(make([]byte, 99))
+	_, _ = io.WriteString(engineSide, "no answer at all\r\n")
 	timers := len(*loop.timers)
 	loop.runUntil(t, func() bool { return len(*loop.timers) > timers })
 	if len(loop.ended) != 0 {
@@ -277,7 +277,7 @@
 	e := p.engines["s-1"]
 	open := func() *connection {
 		nc, _ := net.Pipe()
-		c := newUpConnection(e, nc)
+		c := newEstablishedConnection(e, nc)
 		e.connections = append(e.connections, c)
 		p.connectionCount++
 		return c
@@ -292,7 +292,7 @@
 	loop.now += 10 * unresponsiveAfterMS // idle is not unresponsive
 	for range 3 {
 		if start() != a {
-			t.Fatal("not sent on the connection there is")
+			t.Fatal("not sent on the existing connection")
 		}
 	}
 	loop.now += unresponsiveAfterMS + 1
@@ -338,7 +338,7 @@
 }
 
 // TestRemovedEnginesAreForgotten checks that nothing is kept of removed engines.
-func TestRemovedEnginesAreForgotten(t *testing.T) {
+func TestRemovedEnginesAreDeleted(t *testing.T) {
 	p := New(&fakeLoop{}, Options{})
 	for _, id := range []string{"s-1", "s-2", "s-3"} {
 		p.SetEndpoint(id, "127.0.0.1:1", false, false)
@@ -353,17 +353,17 @@
 // TestRemainingTimeIsThatOfTheWrite checks that an engine is told the time that is left
 // when the request is written, however long the connection took to come up, and that
 // an expired request is not written.
-func TestRemainingTimeIsThatOfTheWrite(t *testing.T) {
-	here, there := testprocess.ConnectedPair(t)
-	loop, p, c := newConnectedPool(here)
+func TestRemainingTimeAtTheWrite(t *testing.T) {
+	clientSide, engineSide := testprocess.ConnectedPair(t)
+	loop, p, c := newConnectedPool(clientSide)
 	c.connected = false
 	p.StartAttempt(dispatch.StartAttempt{RequestID: "a", Engine: "s-1", DeadlineAtMS: loop.Now() + 600, Priority: 1}, 0, query)
 	p.StartAttempt(dispatch.StartAttempt{RequestID: "b", Engine: "s-1", DeadlineAtMS: loop.Now() + 250, Priority: 1}, 0, query)
 	loop.now += 300
-	p.dialDone(c, here, nil)
+	p.dialDone(c, clientSide, nil)
 	buf := make([]byte, 99)
-	_ = there.SetReadDeadline(time.Now().Add(time.Minute))
-	n, err := there.Read(buf)
+	_ = engineSide.SetReadDeadline(time.Now().Add(time.Minute))
+	n, err := engineSide.Read(buf)
 	if got := string(buf[:n]); err != nil || !strings.HasPrefix(got, "PULL a c=load,w=300,nice=1 1\r\n") || strings.Contains(got, "PULL b") {
 		t.Errorf("%q, %v", got, err)
 	}
@@ -377,15 +377,15 @@
 // unknown verb cancels the attempt, whose end is reported only when the engine has been
 // notified: until then another attempt would be a second one in flight.
 func TestOnlyKnownVerbsEndAnAttempt(t *testing.T) {
-	here, there := testprocess.ConnectedPair(t)
-	loop, p, c := newConnectedPool(here)
+	clientSide, engineSide := testprocess.ConnectedPair(t)
+	loop, p, c := newConnectedPool(clientSide)
 	for _, id := range []string{"a", "b"} {
 		startAttempt(p, id)
 	}
 	go p.writeLoop(c)
 	buf := make([]byte, 999)
-	_ = there.SetReadDeadline(time.Now().Add(time.Minute))
-	_, _ = there.Read(buf)
+	_ = engineSide.SetReadDeadline(time.Now().Add(time.Minute))
+	_, _ = engineSide.Read(buf)
 	for _, fields := range []map[string]string{nil, {"note": "share", "num": "0.5"}, {"note": "share", "num": "x"}} {
 		p.handleReply(c, &reply{id: "a", kind: replyStatus, verb: "EVENT", fields: fields})
 	}
@@ -394,7 +394,7 @@
 	if len(loop.ended) != 0 || len(c.exchanges) != 2 || p.Counters.StatusReplies != 2 || p.Counters.MalformedStatuses != 1 || p.Counters.UnknownVerbs != 2 {
 		t.Fatalf("%v, %d open, %+v", loop.ended, len(c.exchanges), p.Counters)
 	}
-	n, _ := there.Read(buf)
+	n, _ := engineSide.Read(buf)
 	if got := string(buf[:n]); got != "KILL b\r\n" {
 		t.Errorf("written: %q", got)
 	}
--- a/internal/engineclient/replies.go
+++ b/internal/engineclient/replies.go
@@ -19,7 +19,7 @@
 		p.handleLateReply(c, r)
 		return
 	}
-	p.takeLoadReport(ex, r)
+	p.recordLoadReport(ex, r)
 	if ex.isProbe {
 		p.endProbe(ex, r)
 		return
@@ -53,12 +53,12 @@
 // follows from it.
 func (p *Pool) handleLateReply(c *connection, r *reply) {
 	p.Counters.LateReplies++
-	if r.kind == replyResult && c.cancelled[r.id] && r.numberField(fieldPageCount) > 1 {
+	if r.kind == replyResult && c.cancelledIDs[r.id] && r.numberField(fieldPageCount) > 1 {
 		p.discardPages(c, r.id)
 	}
 }
 
-func (p *Pool) takeLoadReport(ex *exchange, r *reply) {
+func (p *Pool) recordLoadReport(ex *exchange, r *reply) {
 	report, malformed := r.loadReport()
 	if malformed {
 		p.Counters.MalformedLoadReports++
--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestCompatUnmarked: a datagram of the decisions has no mark, and is its own body.
-func TestCompatUnmarked(t *testing.T) {
+func TestCompatUnframed(t *testing.T) {
 	b := []byte{0x43, 0x48, 0, 0}
 	if kind, body, err := Unwrap(b); kind != Demand || !bytes.Equal(body, b) || err != nil {
 		t.Errorf("%v %x %v", kind, body, err)
@@ -44,7 +44,7 @@
 }
 
 // TestCompatRefused: what the version before refuses is refused, in the same words.
-func TestCompatRefused(t *testing.T) {
+func TestCompatRejected(t *testing.T) {
 	for file, want := range map[string]error{"spoilt.txt": ErrMalformed, "version.txt": ErrVersion} {
 		golden := goldentest.Read(t, file)
 		if len(golden) < 2 {
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -54,11 +54,11 @@
 	headerBytes   = 2
 	checksumBytes = 4
 
-	version     = 1
-	mark        = 0xD0
-	markMask    = 0xF0
-	versionMask = 0x0F
-	framedFrom  = 0x80 // first byte of every framed datagram at least
+	version       = 1
+	magic         = 0xD0
+	magicMask     = 0xF0
+	versionMask   = 0x0F
+	minFramedByte = 0x80 // first byte of every framed datagram at least
 )
 
 // The errors of Unwrap.
@@ -74,7 +74,7 @@
 
 func wrapVersion(version byte, kind Kind, body []byte) []byte {
 	datagram := make([]byte, 0, len(body)+Overhead)
-	datagram = append(datagram, mark|version, byte(kind))
+	datagram = append(datagram, magic|version, byte(kind))
 	datagram = append(datagram, body...)
 	return binary.BigEndian.AppendUint32(datagram, crc32.Checksum(datagram, castagnoli))
 }
@@ -83,19 +83,19 @@
 // with ErrMalformed or ErrVersion. The kind may be one that this version does
 // not know.
 func Unwrap(datagram []byte) (Kind, []byte, error) {
-	if len(datagram) == 0 || datagram[0] < framedFrom {
+	if len(datagram) == 0 || datagram[0] < minFramedByte {
 		return Demand, datagram, nil
 	}
-	if len(datagram) < Overhead || datagram[0]&markMask != mark {
+	if len(datagram) < Overhead || datagram[0]&magicMask != magic {
 		return 0, nil, ErrMalformed
 	}
-	checked := datagram[:len(datagram)-checksumBytes]
-	checksum := binary.BigEndian.Uint32(datagram[len(checked):])
-	if crc32.Checksum(checked, castagnoli) != checksum {
+	checksummed := datagram[:len(datagram)-checksumBytes]
+	checksum := binary.BigEndian.Uint32(datagram[len(checksummed):])
+	if crc32.Checksum(checksummed, castagnoli) != checksum {
 		return 0, nil, ErrMalformed
 	}
 	if datagram[0]&versionMask != version {
 		return 0, nil, ErrVersion
 	}
-	return Kind(datagram[1]), checked[headerBytes:], nil
+	return Kind(datagram[1]), checksummed[headerBytes:], nil
 }
--- a/internal/peer/datagram_test.go
+++ b/internal/peer/datagram_test.go
@@ -38,6 +38,6 @@
 		t.Errorf("the next version: %v", err)
 	}
 	if _, _, err := Unwrap([]byte{0xF1, 1, 0, 0, 0, 0}); !errors.Is(err, ErrMalformed) {
-		t.Errorf("without the mark: %v", err)
+		t.Errorf("without the magic number: %v", err)
 	}
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -29,18 +29,18 @@
 // goroutine.
 type Transport struct {
 	MaxDatagramBytes int
-	AcceptUnlisted  bool // senders that are not listed are delivered too
+	AcceptUnlisted   bool // senders that are not listed are delivered too
 
-	conn      *net.UDPConn
-	peers     []netip.AddrPort // by index
-	indexes   map[netip.AddrPort]int
-	broadcast []netip.AddrPort // where Broadcast sends to
+	conn           *net.UDPConn
+	peers          []netip.AddrPort // by index
+	indexByAddr    map[netip.AddrPort]int
+	broadcastAddrs []netip.AddrPort // where Broadcast sends to
 }
 
 // Open binds the socket. Broadcasts go to the address broadcast, or if that is
 // empty to each peer but the one with index self.
 func Open(config *net.ListenConfig, listen string, peers []string, broadcast string, self int) (*Transport, error) {
-	t := &Transport{indexes: map[netip.AddrPort]int{}, MaxDatagramBytes: MaxDatagramBytes}
+	t := &Transport{indexByAddr: map[netip.AddrPort]int{}, MaxDatagramBytes: MaxDatagramBytes}
 	if err := t.setPeers(peers, self); err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("broadcast address: %w", err)
 		}
-		t.broadcast = []netip.AddrPort{addr}
+		t.broadcastAddrs = []netip.AddrPort{addr}
 	}
 	conn, err := config.ListenPacket(context.Background(), "udp", listen)
 	if err != nil {
@@ -67,8 +67,8 @@
 		}
 		t.peers = append(t.peers, addr)
 		if index != self {
-			t.indexes[addr] = index
-			t.broadcast = append(t.broadcast, addr)
+			t.indexByAddr[addr] = index
+			t.broadcastAddrs = append(t.broadcastAddrs, addr)
 		}
 	}
 	return nil
@@ -87,7 +87,7 @@
 		return errTooLong
 	}
 	var first error
-	for _, to := range t.broadcast {
+	for _, to := range t.broadcastAddrs {
 		_, err := t.conn.WriteToUDPAddrPort(datagram, to)
 		if err != nil && first == nil {
 			first = err
@@ -124,7 +124,7 @@
 			continue
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		index, listed := t.indexes[from]
+		index, listed := t.indexByAddr[from]
 		if !listed {
 			index = UnlistedPeer
 		}
--- a/internal/virtualclock/virtualclock.go
+++ b/internal/virtualclock/virtualclock.go
@@ -52,11 +52,11 @@
 		return // it fires before, and is set again then
 	}
 	t.firesAtMS = nextMS
-	t.clock.After(nextMS-t.clock.NowMS, func() { t.due(nextMS) })
+	t.clock.After(nextMS-t.clock.NowMS, func() { t.onDue(nextMS) })
 }
 
 // due is called at a time for which the timer was set.
-func (t *Timer) due(setForMS float64) {
+func (t *Timer) onDue(setForMS float64) {
 	if t.firesAtMS != setForMS {
 		return // it was set to an earlier time since
 	}
