--- a/internal/engineclient/attempt.go
+++ b/internal/engineclient/attempt.go
@@ -7,9 +7,9 @@
 
 const probeTimeoutMS = 250
 
-// StartAttempt sends an attempt of a request of a class to its engine. The work
-// is the request's dispatch.Query. Its end is always reported, possibly before
-// StartAttempt returns.
+// StartAttempt sends an attempt of a request to its engine. The class is an index
+// into Options.Classes, and work is the request's dispatch.Query. The attempt's
+// end is always reported, possibly before StartAttempt returns.
 func (p *Pool) StartAttempt(s dispatch.StartAttempt, class int, work any) {
 	query, _ := work.(dispatch.Query)
 	e := p.engines[s.Engine]
@@ -38,8 +38,9 @@
 	p.openExchange(c, ex)
 }
 
-// CancelAttempt cancels an attempt. Its end is reported once the engine's
-// connection has taken the command, unless a reply comes first.
+// CancelAttempt cancels an attempt. A request that is not written yet is withdrawn
+// and ends at once. Otherwise the attempt's end is reported shortly after the
+// cancel command is written, unless a reply arrives first.
 func (p *Pool) CancelAttempt(s dispatch.CancelAttempt) {
 	ex := p.attempt(s.Engine, s.RequestID, s.Attempt)
 	if ex == nil || ex.cancelled || p.withdraw(ex) {
@@ -48,7 +49,7 @@
 	p.cancel(ex, control.Cancelled)
 }
 
-// SetPriority gives an attempt a new priority.
+// SetPriority sends an attempt's new priority to its engine.
 func (p *Pool) SetPriority(r dispatch.SetPriority) {
 	ex := p.attempt(r.Engine, r.RequestID, r.Attempt)
 	if ex == nil || !ex.connection.connected || ex.cancelled || ex.acknowledged {
@@ -58,7 +59,7 @@
 	p.enqueue(ex.connection, command{line: priorityLine(r.RequestID, r.Priority)})
 }
 
-// attempt returns an open attempt; nil if there is none.
+// attempt returns an open attempt, or nil if there is none.
 func (p *Pool) attempt(engineID, requestID string, attempt int) *exchange {
 	e := p.engines[engineID]
 	if e == nil {
@@ -67,8 +68,8 @@
 	return e.attempts[attemptKey{requestID, attempt}]
 }
 
-// Probe asks an engine for its load. Its end is reported unless the engine is
-// unknown or no connection is to be had.
+// Probe asks an engine for its load. The probe's end is reported unless the engine
+// is not listed or no connection is available.
 func (p *Pool) Probe(id string) {
 	e := p.engines[id]
 	if e == nil || e.removed {
--- a/internal/engineclient/compat_test.go
+++ b/internal/engineclient/compat_test.go
@@ -14,7 +14,7 @@
 	"dewhill/internal/dispatch"
 )
 
-// recordingLoop is a fakeLoop that records what is reported to it.
+// recordingLoop is a fakeLoop that records the events that are reported to it.
 type recordingLoop struct {
 	fakeLoop
 	ends     map[string]dispatch.AttemptEnded
@@ -29,13 +29,13 @@
 func (l *recordingLoop) AttemptStatus(ev dispatch.AttemptStatus) { l.statuses = append(l.statuses, ev) }
 func (l *recordingLoop) ProbeEnded(ev dispatch.ProbeEnded)       { l.probes = append(l.probes, ev) }
 
-// conversation is an exchange of the golden lines with an engine.
+// conversation is a session with a fake engine in which both sides send the golden lines.
 type goldenSession struct {
 	t          *testing.T
 	lines      map[string]string
 	loop       *recordingLoop
 	pool       *Pool
-	engineSide net.Conn // the engine's end
+	engineSide net.Conn
 }
 
 func newGoldenSession(t *testing.T) *goldenSession {
@@ -71,7 +71,8 @@
 	return s
 }
 
-// expectWritten reads what is written to the engine, which must be the golden line.
+// expectWritten reads what the pool writes to the engine and compares it with the
+// golden line of a name.
 func (s *goldenSession) expectWritten(name string) {
 	s.t.Helper()
 	want, ok := s.lines[name]
@@ -86,7 +87,8 @@
 	}
 }
 
-// reply lets the engine send the golden line, and waits until it is handled.
+// reply sends the golden line of a name as the engine, and runs the event loop until
+// a condition holds.
 func (s *goldenSession) reply(name string, until func() bool) {
 	s.t.Helper()
 	text, ok := s.lines[name]
@@ -107,12 +109,11 @@
 	}
 }
 
-// startAttempt starts an attempt.
 func (s *goldenSession) startAttempt(id string, class, priority int, query dispatch.Query) {
 	s.pool.StartAttempt(dispatch.StartAttempt{RequestID: id, Engine: "s-1", DeadlineAtMS: 1500, Priority: priority}, class, query)
 }
 
-// replyEnding lets the engine end an attempt with the golden line.
+// replyEnding sends a golden line that ends an attempt, and checks the reported end.
 func (s *goldenSession) replyEnding(name, id string, want dispatch.AttemptEnded) {
 	s.t.Helper()
 	over := func() bool { _, ended := s.loop.ends[id]; return ended }
@@ -122,7 +123,8 @@
 	}
 }
 
-// TestCompatLines holds the lines that engines read and send.
+// TestCompatLines checks each line that engines read and send against the golden file:
+// engines of other versions must understand them.
 func TestCompatLines(t *testing.T) {
 	s := newGoldenSession(t)
 	s.startAttempt("a", 0, 1, dispatch.Query{Statement: []byte("select 1\nfrom stock"), IdempotencyKey: "k-1"})
@@ -201,7 +203,7 @@
 	}
 }
 
-// TestCompatReports holds the names of the values in load reports.
+// TestCompatReports checks the names of the values in load reports, which engines write.
 func TestCompatReports(t *testing.T) {
 	for _, c := range []struct {
 		text string
--- a/internal/engineclient/conformance_test.go
+++ b/internal/engineclient/conformance_test.go
@@ -14,8 +14,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// TestStreamsPerConnection checks that a connection carries as many requests as the
-// settings allow and no more: further ones go on another connection.
+// TestStreamsPerConnection checks that a connection carries at most as many requests as
+// the options allow, and that further requests use another connection.
 func TestStreamsPerConnection(t *testing.T) {
 	const streams, requests = 100, 250
 	addr := fakes.Listen(t, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) })
@@ -33,21 +33,21 @@
 		open = append(open, len(c.exchanges))
 	}
 	if fmt.Sprint(open) != "[100 100 50]" || len(loop.ended) != 0 {
-		t.Errorf("%v requests on the connections, %v ended", open, loop.ended)
+		t.Errorf("%v requests on the connections, ended: %v, want [100 100 50] and none ended", open, loop.ended)
 	}
-	// A place that has come free is used again before another connection is opened.
+	// A slot that has become free is used before another connection is opened.
 	p.endExchange(p.engines["s-1"].attempts[attemptKey{"0", 0}], control.Served)
 	for k := range streams/2 + 1 {
 		id := fmt.Sprint(requests + k)
 		p.StartAttempt(dispatch.StartAttempt{RequestID: id, Engine: "s-1", DeadlineAtMS: 60000}, 0, query)
 	}
 	if n := len(p.engines["s-1"].connections); n != 3 || p.Counters.Dials != 3 {
-		t.Errorf("%d connections, %d dials", n, p.Counters.Dials)
+		t.Errorf("%d connections, %d dials, want 3 and 3", n, p.Counters.Dials)
 	}
 }
 
-// TestUnknownFieldsAreSkipped checks that fields of a reply that the protocol doesn't name
-// change nothing of what the others say, and that a reply to nobody ends nothing.
+// TestUnknownFieldsAreSkipped checks that unknown fields of a reply are ignored, and that a reply
+// to an unknown id ends no attempt.
 func TestUnknownFieldsAreIgnored(t *testing.T) {
 	clientSide, engineSide := testprocess.ConnectedPair(t)
 	loop, p, c := newConnectedPool(clientSide)
@@ -62,12 +62,12 @@
 	counters := p.Counters
 	if loop.ended["a"] != control.Served || counters.StatusReplies != 1 || counters.MalformedStatuses != 0 ||
 		counters.UnknownVerbs != 1 || counters.LateReplies != 1 || counters.MalformedReplies != 0 {
-		t.Errorf("%v, %+v", loop.ended, counters)
+		t.Errorf("unexpected results %v, counters %+v", loop.ended, counters)
 	}
 }
 
-// TestVerbsOfAnotherCommand checks that a verb that belongs to a probe ends no attempt:
-// the attempt is cancelled first, as after an unknown verb.
+// TestVerbsOfAnotherCommand checks that a reply to an attempt with the verb of a probe
+// does not end the attempt. The attempt is cancelled first, as after an unknown verb.
 func TestProbeVerbCancelsAttempt(t *testing.T) {
 	for _, kind := range []replyKind{replyHealthy, replyUnhealthy} {
 		clientSide, engineSide := testprocess.ConnectedPair(t)
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestRepliesThatCostTheConnection checks that a page without a result before it, a number
-// of pages that can't be, a field without a value and one that is there twice cost the
-// connection: nobody knows what else would come on it.
+// TestRepliesThatCostTheConnection checks that a page without a result before it, an
+// impossible number of pages, a field without a value and a repeated field close the
+// connection: the bytes that follow a malformed reply can't be interpreted.
 func TestMalformedRepliesCloseTheConnection(t *testing.T) {
 	for _, text := range []string{
 		"a BLOCK batch=1 6\r\nx\ty\tz\n\r\n",
@@ -113,7 +113,7 @@
 			case f := <-loop.posted:
 				f()
 			case <-end:
-				t.Fatalf("%.40q: the connection stays open", text)
+				t.Fatalf("%.40q: the connection was not closed", text)
 			}
 		}
 		if p.Counters.MalformedReplies != 1 || len(loop.ended) != 0 {
@@ -123,7 +123,7 @@
 }
 
 // TestResultSizeLimit checks that a result of 48,000 bytes is served, and that a longer
-// one costs its connection.
+// result closes its connection.
 func TestResultSizeLimit(t *testing.T) {
 	page := strings.Repeat("a\tb\t"+strings.Repeat("x", 5)+"\n", maxPageBytes/10)
 	for _, c := range []struct {
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestProbeOutcomes checks that a probe is answered by its two verbs only; anything else
-// counts as an error of the probe, and none of it ends an attempt.
+// TestProbeOutcomes checks that only the two verbs of a probe count as its success. Any
+// other reply is an error of the probe, and no reply to a probe ends an attempt.
 func TestProbeOutcomes(t *testing.T) {
 	for kind, want := range map[replyKind]control.Result{
 		replyHealthy: control.Served, replyUnhealthy: control.Served, replyError: control.Errored,
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestRefusedConnectionNeverRan checks that a connection that is refused proves that the
-// request never ran.
+// TestRefusedConnectionNeverRan checks that a request whose connection is refused counts
+// as never run.
 func TestRefusedConnectionNeverRan(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -191,12 +191,13 @@
 	p.StartAttempt(dispatch.StartAttempt{RequestID: "a", Engine: "s-1", DeadlineAtMS: 60000}, 0, query)
 	loop.runUntilEnded(t, 1)
 	if loop.ended["a"] != control.ConnectFailed || p.Counters.DialFailures != 1 || p.connectionCount != 0 {
-		t.Errorf("%v, %+v", loop.ended, p.Counters)
+		t.Errorf("unexpected results %v, counters %+v", loop.ended, p.Counters)
 	}
 }
 
 // TestIdleConnectionsAreClosedBeforeTheEngineDoes checks that an idle connection is closed
-// well before the time of the settings, and one with a request open is not.
+// well before the idle timeout, at which its engine would close it, and that a
+// connection with an open request is not closed.
 func TestIdleConnectionsAreClosedBeforeTheEngineDoes(t *testing.T) {
 	const idleTimeoutMS = 15000
 	for _, busy := range []bool{false, true} {
@@ -210,7 +211,7 @@
 		loop.now += idleCloseFraction * idleTimeoutMS
 		p.sweep()
 		if c.closed {
-			t.Errorf("busy %v: closed after %v ms", busy, loop.now)
+			t.Errorf("busy %v: closed already after %v ms", busy, loop.now)
 		}
 		loop.now += sweepIntervalMS
 		p.sweep()
--- a/internal/engineclient/connection.go
+++ b/internal/engineclient/connection.go
@@ -13,37 +13,38 @@
 )
 
 const (
-	unresponsiveAfterMS = 500    // without a word while a reply is owed
-	maxUnresponsive     = 4      // such connections to an engine before one is used all the same
-	staleReplyWindowMS  = 10_000 // for which replies may still come to an id that has ended
-	deliveryDelayMS     = 10     // that a command may take to its engine
+	unresponsiveAfterMS = 500    // without a reply while one is outstanding
+	maxUnresponsive     = 4      // unresponsive connections to an engine at most; then one of them is used
+	staleReplyWindowMS  = 10_000 // for which replies may still arrive for an id that has ended
+	deliveryDelayMS     = 10     // allowed for a command to reach its engine
 	commandQueueLength  = 512
 )
 
-// errNotAccepting closes a connection whose engine reads nothing.
+// errNotAccepting is the reason for closing a connection whose engine reads nothing.
 var errNotAccepting = errors.New("engine accepts no data")
 
-// connection is a connection to an engine. Its fields belong to the event loop,
-// except for socket, which its goroutines use, and writeStartedMS.
+// connection is a connection to an engine. Only the event loop uses its fields,
+// except for socket and commands, which the reader and writer goroutines use too,
+// and writeStartedMS, which is atomic.
 type connection struct {
 	engine       *engine
 	addr         string
 	socket       net.Conn // nil until connected
 	commands     chan command
 	exchanges    map[string]*exchange // open, by id
-	cancelledIDs map[string]bool      // ids that were cancelled here: replies may still come
-	endedIDs     map[string]bool      // ids that ended without a result: duplicates may still come
+	cancelledIDs map[string]bool      // ids cancelled on this connection: replies may still arrive
+	endedIDs     map[string]bool      // ids that ended without a result: duplicates may still arrive
 
-	idleSinceMS    float64 // when the last exchange ended
-	lastActivityMS float64 // when the engine last replied, or began to owe a reply
-	writeStartedMS atomic.Int64
+	idleSinceMS    float64      // when the last exchange ended
+	lastActivityMS float64      // last reply, or start of the wait for one if that is later
+	writeStartedMS atomic.Int64 // start of the write that is in progress; 0: none
 
 	connected          bool
 	closed             bool
-	closedLocally      bool // not by the engine or the network
-	descriptorShortage bool // it could not be opened for want of a descriptor
-	writeFailed        bool // nothing is written any more, but replies are still read
-	goroutinesDone     int  // of reader and writer
+	closedLocally      bool // rather than by the engine or the network
+	descriptorShortage bool // the dial failed because no file descriptor was free
+	writeFailed        bool // nothing more is written, but replies are still read
+	goroutinesDone     int  // of the reader and the writer
 }
 
 const goroutinesPerConnection = 2
@@ -59,25 +60,26 @@
 	}
 }
 
-// outdated reports whether the connection's engine was removed or moved.
+// outdated reports whether the connection's engine was removed or has a new address.
 func (c *connection) outdated() bool { return c.engine.removed || c.addr != c.engine.addr }
 
-// idle reports whether the connection is up and nothing is open on it.
+// idle reports whether the connection is established and has no open exchange.
 func (c *connection) idle() bool { return c.connected && len(c.exchanges) == 0 }
 
-// awaitsReply reports whether the engine may still have to reply.
+// awaitsReply reports whether the engine may still reply to an exchange.
 func (c *connection) awaitsReply() bool { return len(c.exchanges)+len(c.cancelledIDs) > 0 }
 
-// accepts reports whether a request with an id may be written. An id that is
-// open, cancelled or ended here must not be used again: a reply could belong to
-// either attempt.
+// canSend reports whether a request with an id may be written. An id that is open,
+// cancelled or ended on this connection must not be used again: a reply could
+// belong to either attempt.
 func (c *connection) canSend(id string) bool {
 	usable := !c.closed && !c.writeFailed && c.addr == c.engine.addr
 	return usable && c.exchanges[id] == nil && !c.cancelledIDs[id] && !c.endedIDs[id]
 }
 
-// preferredTo reports whether a request is better sent here than on another
-// connection: on one that is up, and has most requests open.
+// preferredTo reports whether a request should be sent on this connection rather
+// than on another. Established connections come first, then those with more open
+// requests.
 func (c *connection) preferredTo(other *connection) bool {
 	if other == nil || c.connected != other.connected {
 		return other == nil || c.connected
@@ -85,7 +87,7 @@
 	return len(c.exchanges) > len(other.exchanges)
 }
 
-// exchangesInOrder returns the open exchanges in the order of their start.
+// exchangesInOrder returns the open exchanges in the order in which they started.
 func (c *connection) exchangesInOrder() []*exchange {
 	list := make([]*exchange, 0, len(c.exchanges))
 	for _, ex := range c.exchanges {
@@ -97,7 +99,8 @@
 	return list
 }
 
-// openExchange opens an exchange on a connection.
+// openExchange adds an exchange to a connection and enqueues its first command, if
+// the connection is established; dialDone enqueues it otherwise.
 func (p *Pool) openExchange(c *connection, ex *exchange) {
 	if !c.awaitsReply() {
 		c.lastActivityMS = p.loop.Now()
@@ -109,8 +112,9 @@
 	}
 }
 
-// enqueue hands a command to the connection's writer. The queue has far more
-// room than a connection's requests need: if it is full, nothing is written.
+// enqueue passes a command to the connection's writer. The queue is far larger than
+// a connection's requests need, so a full queue means that the engine reads nothing,
+// and the connection is closed.
 func (p *Pool) enqueue(c *connection, cmd command) {
 	if c.closed {
 		return
@@ -122,10 +126,11 @@
 	}
 }
 
-// selectConnection returns a connection for a request, which may still have to
-// come up; nil if there is none. A connection that owes a reply and is silent
-// may lead nowhere, whatever others to the engine do: unless there are too many
-// of these, a new one is opened, and a request that waits for that never ran.
+// selectConnection returns a connection for a request, possibly one that is still
+// being established, or nil if none is available. An unresponsive connection may be
+// broken even if other connections to the same engine work. A new connection is
+// therefore opened beside it, unless maxUnresponsive connections are unresponsive
+// already: a request that waits for a new connection provably never ran.
 func (p *Pool) selectConnection(e *engine, id string) *connection {
 	var best, lastUnresponsive *connection
 	unresponsive := 0
@@ -153,11 +158,14 @@
 	return p.dial(e)
 }
 
+// unresponsive reports whether replies are outstanding on a connection and none has
+// arrived for more than unresponsiveAfterMS.
 func (p *Pool) unresponsive(c *connection) bool {
 	return c.connected && c.awaitsReply() && p.loop.Now()-c.lastActivityMS > unresponsiveAfterMS
 }
 
-// dial opens a connection; nil if the pool is at its limit.
+// dial opens a connection. It returns nil if the pool is at its limit and has no
+// idle connection to close.
 func (p *Pool) dial(e *engine) *connection {
 	if p.connectionCount >= p.options.MaxConnections && !p.closeLongestIdle() {
 		return nil
@@ -173,8 +181,9 @@
 	return c
 }
 
-// closeIdlest closes the connection that has been idle longest, and reports
-// whether there was one.
+// closeLongestIdle closes the connection that has been idle longest, and reports
+// whether there was an idle connection. It also closes connections whose write has
+// timed out.
 func (p *Pool) closeLongestIdle() bool {
 	var longestIdle *connection
 	for _, e := range p.engines {
@@ -195,7 +204,7 @@
 	return true
 }
 
-// dialDone takes the result of a dial.
+// dialDone handles the result of a dial.
 func (p *Pool) dialDone(c *connection, socket net.Conn, err error) {
 	if err != nil {
 		p.Counters.DialFailures++
@@ -217,7 +226,7 @@
 	}
 }
 
-// readLoop reads replies until the connection ends.
+// readLoop reads replies until reading fails.
 func (p *Pool) readLoop(c *connection) {
 	buffer := lineproto.New(c.socket, maxLineBytes)
 	for {
@@ -233,8 +242,8 @@
 	}
 }
 
-// goroutineDone notes that a connection's reader or writer has ended. When both
-// have, it is known what was written and what was replied.
+// goroutineDone records that a connection's reader or writer has ended. When both
+// have ended, no further write or reply can change how the exchanges end.
 func (p *Pool) goroutineDone(c *connection) {
 	c.goroutinesDone++
 	if c.goroutinesDone == goroutinesPerConnection {
@@ -242,8 +251,9 @@
 	}
 }
 
-// closeConnection closes a connection because of an error, or of none. If it was
-// connected, its exchanges are settled when its goroutines have ended.
+// closeConnection closes a connection. The error is the reason, or nil if it is no
+// longer needed. The exchanges of an established connection end when its goroutines
+// have ended.
 func (p *Pool) closeConnection(c *connection, err error) {
 	if c.closed {
 		return
@@ -292,9 +302,9 @@
 	}
 }
 
-// settleExchanges ends what was open on a closed connection. What was not
-// written completely never ran; of the rest it is not known. A shortage of
-// descriptors here is not held against the engine.
+// endOpenExchanges ends the exchanges of a closed connection. A request that was not
+// written completely never ran; any other may have run. A shortage of descriptors
+// in this process does not count as a failure of the engine.
 func (p *Pool) endOpenExchanges(c *connection) {
 	for _, ex := range c.exchangesInOrder() {
 		p.Counters.LostWithConnection++
@@ -305,7 +315,7 @@
 			p.Counters.Truncated++
 			p.endExchange(ex, control.ConnectFailed)
 		case c.closedLocally:
-			// The close takes its time to arrive, and until then the attempt runs.
+			// The attempt may still be running until the close reaches the engine.
 			p.endAfterDelivery(ex, ex.lostResult())
 		default:
 			p.endExchange(ex, ex.lostResult())
@@ -313,7 +323,8 @@
 	}
 }
 
-// lostResult is the result of an exchange that its connection took along.
+// lostResult returns the result of an exchange whose connection was lost after the
+// request was written.
 func (ex *exchange) lostResult() control.Result {
 	if ex.cancelled {
 		return control.Cancelled
--- a/internal/engineclient/counters.go
+++ b/internal/engineclient/counters.go
@@ -1,29 +1,29 @@
 package engineclient
 
-// Counters count what is sent to engines and what comes from them. Their JSON
-// keys are the operators' and do not change.
+// Counters count commands to engines and replies from them. Operators and their
+// tools read the JSON keys, which must not change.
 type Counters struct {
 	Dials                   int            `json:"Dials"`
 	DialFailures            int            `json:"DialFailures"`
 	ConnectionsLost         int            `json:"ConnsLost"`     // with exchanges open
-	MalformedReplies        int            `json:"Garbage"`       // each costs its connection
+	MalformedReplies        int            `json:"Garbage"`       // each closes its connection
 	Requests                int            `json:"Pulls"`         // sent
 	Cancels                 int            `json:"Kills"`         // sent
 	PriorityChanges         int            `json:"Boosts"`        // sent
 	PageRequests            int            `json:"Scrolls"`       // sent
 	Discards                int            `json:"Discards"`      // sent
-	RepliesByVerb           map[string]int `json:"Words"`         // without unknown verbs
-	UnknownVerbs            int            `json:"UnknownWords"`  // replies with a verb the protocol does not have
-	StatusReplies           int            `json:"Notes"`         // passed on
+	RepliesByVerb           map[string]int `json:"Words"`         // known verbs only
+	UnknownVerbs            int            `json:"UnknownWords"`  // replies with an unknown verb
+	StatusReplies           int            `json:"Notes"`         // well formed
 	MalformedStatuses       int            `json:"SpoiltNotes"`   // dropped
 	LateReplies             int            `json:"LateAnswers"`   // replies to exchanges that had ended
-	PagesLost               int            `json:"PagesLost"`     // by the engine
+	PagesLost               int            `json:"PagesLost"`     // errors in place of a further page
 	Probes                  int            `json:"Probes"`        // sent
-	NoConnection            int            `json:"NoConn"`        // not allowed by the limit or the system
-	DuplicateReplies        int            `json:"SecondCopies"`  // results and pages received again
-	UnresponsiveConnections int            `json:"Quiet"`         // dials beside connections that owe a reply
-	Withdrawn               int            `json:"Withdrawn"`     // before they were written
-	Truncated               int            `json:"Unsent"`        // of these, not written completely
+	NoConnection            int            `json:"NoConn"`        // connection limit or descriptor shortage
+	DuplicateReplies        int            `json:"SecondCopies"`  // results and pages received more than once
+	UnresponsiveConnections int            `json:"Quiet"`         // dials beside unresponsive connections
+	Withdrawn               int            `json:"Withdrawn"`     // requests, before they were written
+	Truncated               int            `json:"Unsent"`        // part of LostWith: not written whole
 	MalformedLoadReports    int            `json:"SpoiltReports"` // dropped
-	LostWithConnection      int            `json:"LostWith"`      // exchanges that ended with their connection
+	LostWithConnection      int            `json:"LostWith"`      // exchanges lost with their connection
 }
--- a/internal/engineclient/engine.go
+++ b/internal/engineclient/engine.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// engine is an engine and its connections. It is identified by its id alone: a
-// new engine may be given the address of a removed one.
+// engine is an engine and its connections. Engines are identified by their id
+// alone, because a new engine may be given the address of a removed one.
 type engine struct {
 	id          string
 	addr        string
@@ -13,8 +13,8 @@
 	attempts    map[attemptKey]*exchange
 }
 
-// SetEndpoint sets an engine's address and state. Once the decisions know too,
-// WithdrawUnwritten must be called.
+// SetEndpoint sets an engine's address and state. WithdrawUnwritten must be called
+// once package control has received the change too.
 func (p *Pool) SetEndpoint(id, addr string, draining, removed bool) {
 	e := p.engines[id]
 	if e == nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// closeUnused closes an engine's connections without open exchanges.
+// closeUnused closes an engine's connections that have no open exchanges.
 func (p *Pool) closeUnused(e *engine) {
 	for _, c := range slices.Clone(e.connections) {
 		if len(c.exchanges) == 0 {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Retain removes all engines but those with the given ids.
+// Retain removes all engines except those with the given ids.
 func (p *Pool) Retain(ids map[string]bool) {
 	for id := range p.engines {
 		if !ids[id] {
@@ -56,9 +56,10 @@
 	}
 }
 
-// WithdrawUnwritten withdraws what is not written yet to engines that drain,
-// moved or were removed. Requests that wait for a connection need it most: when
-// it comes up, another engine may have the address.
+// WithdrawUnwritten withdraws the requests that are not written yet to engines
+// that are draining, have a new address or were removed. It matters most for
+// requests that wait for a connection: by the time the connection is established,
+// another engine may have the address.
 func (p *Pool) WithdrawUnwritten() {
 	for _, e := range p.engines {
 		for _, c := range slices.Clone(e.connections) {
--- a/internal/engineclient/exchange.go
+++ b/internal/engineclient/exchange.go
@@ -7,13 +7,12 @@
 	"dewhill/internal/dispatch"
 )
 
-// The stages of an exchange. The event loop and the connection's writer each
-// leave stageQueued by compare-and-swap, so that no request is both written and
-// withdrawn.
+// The stages of an exchange. The event loop and the connection's writer both change
+// stageQueued by compare-and-swap, so that no request is both written and withdrawn.
 const (
-	stageQueued    int32 = iota // waits for its connection or its writer
+	stageQueued    int32 = iota // waits for its connection or the connection's writer
 	stageWritten                // being written, or written completely
-	stageWithdrawn              // never to be written
+	stageWithdrawn              // will not be written
 	stageTruncated              // not written completely: the engine ignores it
 )
 
@@ -23,15 +22,15 @@
 	attempt      int
 	isProbe      bool
 	connection   *connection
-	startCommand command  // that starts it
+	startCommand command  // its first command
 	request      *request // nil for a probe
 	startedMS    float64
-	writeByMS    float64 // it must not be written later; 0: any time
+	writeByMS    float64 // latest time at which the request may be written; 0: any time
 	stage        atomic.Int32
 	cancelled    bool
 
-	acknowledged  bool     // the query is done; pages may be outstanding
-	pages         [][]byte // nil where a page is outstanding
+	acknowledged  bool     // the result's first page was received; others may be outstanding
+	pages         [][]byte // nil for each page that is outstanding
 	pagesReceived int
 	bytesReceived int
 	workMS        float64
@@ -39,7 +38,7 @@
 	loadReport    *control.LoadReport
 }
 
-// request is what is sent to an engine.
+// request is the content of a request to an engine.
 type request struct {
 	id             string
 	class          string
@@ -49,20 +48,20 @@
 	statement      []byte
 }
 
-// command is a line to an engine.
+// command is a line to an engine, or a request with its statement.
 type command struct {
-	line       string    // unless it starts a request
-	exchange   *exchange // that it starts; nil if none
+	line       string    // empty if the command starts a request
+	exchange   *exchange // the exchange that the command starts; nil if none
 	afterWrite func()    // runs on the event loop; may be nil
 }
 
-// attemptKey names an attempt among those of its engine.
+// attemptKey identifies an attempt among those of its engine.
 type attemptKey struct {
 	requestID string
 	attempt   int
 }
 
-// expired reports whether the exchange must not be written any more.
+// expired reports whether it is too late to write the exchange's request.
 func (ex *exchange) expired(nowMS float64) bool {
 	if ex.writeByMS > 0 && nowMS > ex.writeByMS {
 		return true
@@ -70,8 +69,8 @@
 	return ex.request != nil && nowMS >= ex.request.deadlineMS
 }
 
-// withdraw ends an exchange that is not written yet, and reports whether it did:
-// such a request never ran.
+// withdraw ends an exchange if it is not written yet, and reports whether it did. A
+// withdrawn request never ran.
 func (p *Pool) withdraw(ex *exchange) bool {
 	if ex.connection.exchanges[ex.id] != ex || !ex.stage.CompareAndSwap(stageQueued, stageWithdrawn) {
 		return false
@@ -81,9 +80,10 @@
 	return true
 }
 
-// cancel tells the engine that an attempt is cancelled. Its end is reported only
-// when the command has had time to arrive, unless a reply comes first: the next
-// attempt must not overtake the command on its way to another engine.
+// cancel sends the cancellation of an attempt to its engine. The attempt's end is
+// reported only deliveryDelayMS after the command was written, unless a reply
+// arrives first: otherwise the next attempt could reach another engine before the
+// cancellation reaches this one.
 func (p *Pool) cancel(ex *exchange, result control.Result) {
 	c := ex.connection
 	ex.cancelled = true
@@ -101,8 +101,8 @@
 	}})
 }
 
-// endAfterDelivery ends an exchange, unless it ends before, once what was last
-// written to its connection has had time to arrive.
+// endAfterDelivery ends an exchange after deliveryDelayMS, by which time the last
+// write to its connection should have reached the engine, unless it ends before.
 func (p *Pool) endAfterDelivery(ex *exchange, result control.Result) {
 	p.loop.After(deliveryDelayMS, func() {
 		if ex.connection.exchanges[ex.id] == ex {
@@ -111,7 +111,8 @@
 	})
 }
 
-// endExchange closes an exchange and reports how it ended.
+// endExchange removes an exchange from its connection and reports the result. It
+// closes an outdated connection after its last exchange.
 func (p *Pool) endExchange(ex *exchange, result control.Result) {
 	c := ex.connection
 	if c == nil {
--- a/internal/engineclient/pool.go
+++ b/internal/engineclient/pool.go
@@ -1,19 +1,19 @@
-// Package engineclient is the client of the platform's engines: a line protocol
-// over TCP with many requests on one connection.
+// Package engineclient is the client for the platform's engines. It speaks a line
+// protocol over TCP that multiplexes many requests on one connection.
 //
-// A request is written at most once. Until its connection's writer takes it, it
-// can be withdrawn, and then it provably never ran: when it is cancelled, when
-// its engine drains, moves or is removed, or when it is too late. A connection
-// that breaks ends its requests only when it is known how much of them was
-// written.
+// A request is written at most once. Until its connection's writer takes it, the
+// request can be withdrawn and then provably never ran. Requests are withdrawn when
+// they are cancelled, when they expire, and when their engine is draining, has a new
+// address or was removed. The requests of a lost connection end only when the reader
+// and the writer have ended, so that it is certain which of them were written.
 //
-//	pool.go        the pool, its options, idle connections
+//	pool.go        the pool, its options, the periodic sweep
 //	engine.go      engines and their addresses
 //	attempt.go     starting and cancelling attempts, probes
 //	exchange.go    an attempt or probe on its connection, until its end
 //	connection.go  choosing, opening and closing connections
 //	writer.go      writing commands
-//	replies.go     what replies lead to
+//	replies.go     handling replies
 //	protocol.go    the lines of the protocol
 //	counters.go    counters
 package engineclient
@@ -33,14 +33,15 @@
 	Post(f func())
 	// Now returns the loop's clock in Unix milliseconds.
 	Now() float64
-	// After runs f on the event loop after a delay.
+	// After runs f on the event loop after a delay in milliseconds.
 	After(delayMS float64, f func())
-	// AttemptEnded takes how an attempt ended, once for each. Of one that was
-	// served, result is its pages as [][]byte.
+	// AttemptEnded is called exactly once for each attempt, when it has ended. If the
+	// attempt was served, result holds its pages as [][]byte.
 	AttemptEnded(ev dispatch.AttemptEnded, result any)
-	// AttemptStatus takes what an engine reports of an attempt that goes on.
+	// AttemptStatus is called for each status reply about an attempt that is still
+	// running.
 	AttemptStatus(ev dispatch.AttemptStatus)
-	// ProbeEnded takes how a probe ended.
+	// ProbeEnded is called when a probe has ended.
 	ProbeEnded(ev dispatch.ProbeEnded)
 	// Logf writes a line to the log.
 	Logf(format string, args ...any)
@@ -50,24 +51,24 @@
 type Options struct {
 	Classes              []string // names of the request classes, by index
 	ConnectTimeout       time.Duration
-	IdleTimeout          time.Duration // after which engines close idle connections
-	StreamsPerConnection int           // requests open on one connection at most
-	MaxConnections       int           // of the whole pool
+	IdleTimeout          time.Duration // after which engines close an idle connection
+	StreamsPerConnection int           // maximum of open requests on one connection
+	MaxConnections       int           // maximum for the whole pool
 	OnDescriptorShortage func()        // called when the system is out of descriptors; may be nil
 }
 
 const (
 	sweepIntervalMS = 500
-	// idleFraction of the idle timeout after which a connection is closed, before
-	// its engine does: of a request that meets the engine's close nobody could
-	// tell whether it ran.
+	// idleCloseFraction is the fraction of the idle timeout after which a connection
+	// is closed here, before its engine closes it. If a request and the engine's close
+	// crossed on the network, the request might or might not have run.
 	idleCloseFraction = 0.6
 	writeTimeoutMS    = 5000.0
-	maxLoggedFaults   = 200 // lines of a kind
+	maxLoggedFaults   = 200 // log lines for one kind of fault
 )
 
-// Pool holds the connections to all engines. Its methods are called on the event
-// loop; each connection has a goroutine that reads and one that writes.
+// Pool holds the connections to all engines. Its methods must be called on the event
+// loop. Each connection has one goroutine that reads and one that writes.
 type Pool struct {
 	Counters Counters
 
@@ -87,14 +88,14 @@
 	return p
 }
 
-// RequestsWritten returns how many requests were written completely.
+// RequestsWritten returns the number of requests that were written completely.
 func (p *Pool) RequestsWritten() int { return int(p.requestsWritten.Load()) }
 
-// Connections returns how many connections there are.
+// Connections returns the number of connections, including those being established.
 func (p *Pool) Connections() int { return p.connectionCount }
 
-// sweep withdraws expired requests, and closes connections that are idle or
-// whose engine accepts nothing.
+// sweep withdraws expired requests. It closes connections that have been idle for
+// too long and those whose engine accepts no data.
 func (p *Pool) sweep() {
 	for _, e := range p.engines {
 		for _, c := range slices.Clone(e.connections) {
@@ -110,8 +111,8 @@
 	p.loop.After(sweepIntervalMS, p.sweep)
 }
 
-// withdrawExpired withdraws what waits behind a blocked writer for too long, so
-// that it may go elsewhere before its deadline.
+// withdrawExpired withdraws requests that have waited too long behind a blocked
+// writer, so that another engine can run them before their deadline.
 func (p *Pool) withdrawExpired(c *connection) {
 	for _, ex := range c.exchangesInOrder() {
 		if ex.expired(p.loop.Now()) {
--- a/internal/engineclient/pool_test.go
+++ b/internal/engineclient/pool_test.go
@@ -22,7 +22,7 @@
 	posted chan func()
 	ended  map[string]control.Result
 	now    float64
-	timers *[]func() // recorded if not nil
+	timers *[]func() // functions passed to After; nil: not recorded
 }
 
 func (loop *fakeLoop) Post(f func()) { loop.posted <- f }
@@ -39,7 +39,7 @@
 	loop.ended[ev.RequestID] = ev.Result
 }
 
-// newUpConnection returns a connection that is up.
+// newUpConnection returns an established connection to an engine.
 func newEstablishedConnection(e *engine, socket net.Conn) *connection {
 	c := newConnection(e)
 	c.socket = socket
@@ -47,10 +47,10 @@
 	return c
 }
 
-// query is what the requests of these tests carry.
+// query is the query of the requests in these tests.
 var query = dispatch.Query{Statement: []byte("x")}
 
-// truncatingConn is a connection that accepts so many bytes and is then reset.
+// truncatingConn is a connection that is reset after a write of a number of bytes.
 type truncatingConn struct {
 	net.Conn
 	accepts int
@@ -60,7 +60,7 @@
 	return min(s.accepts, len(b)), errors.New("reset")
 }
 
-// breakingConn is a connection that accepts so many writes and then breaks.
+// breakingConn is a connection whose writes fail after a number of writes.
 type breakingConn struct {
 	net.Conn
 	writes int
@@ -75,8 +75,8 @@
 }
 
 // TestResetWhileWriting checks that a request that was not written completely counts
-// as never run, so that it may go elsewhere even if it is not idempotent, and that one
-// that was may have run.
+// as never run, so that another engine may run it even if it is not idempotent. A
+// request that was written completely may have run.
 func TestResetWhileWriting(t *testing.T) {
 	nc, _ := net.Pipe()
 	first := "PULL a c=load,w=500,nice=1 1\r\nx\r\n"
@@ -88,20 +88,20 @@
 	go p.writeLoop(c)
 	loop.runUntilEnded(t, 3)
 	if loop.ended["a"] != control.Reset || loop.ended["b"] != control.ConnectFailed || loop.ended["c"] != control.ConnectFailed {
-		t.Errorf("%v", loop.ended)
+		t.Errorf("unexpected results: %v", loop.ended)
 	}
 	if open := len(p.engines["s-1"].attempts); p.connectionCount != 0 || p.Counters.Truncated != 2 || open != 0 {
-		t.Errorf("%d connections, %d attempts, %+v", p.connectionCount, open, p.Counters)
+		t.Errorf("%d connections and %d attempts left, counters %+v", p.connectionCount, open, p.Counters)
 	}
 }
 
-// runUntilEnded runs what is posted until so many attempts have ended.
+// runUntilEnded runs posted functions until a number of attempts have ended.
 func (loop *fakeLoop) runUntilEnded(t *testing.T, ended int) {
 	t.Helper()
 	loop.runUntil(t, func() bool { return len(loop.ended) >= ended })
 }
 
-// runUntil runs what is posted until a condition holds.
+// runUntil runs posted functions until a condition holds.
 func (loop *fakeLoop) runUntil(t *testing.T, holds func() bool) {
 	t.Helper()
 	for end := time.After(time.Minute); !holds(); {
@@ -109,7 +109,7 @@
 		case f := <-loop.posted:
 			f()
 		case <-end:
-			t.Fatalf("ended so far: %v", loop.ended)
+			t.Fatalf("condition not met within a minute; ended so far: %v", loop.ended)
 		}
 	}
 }
@@ -126,14 +126,15 @@
 	return loop, p, c
 }
 
-// startAttempt starts an attempt that has a minute.
+// startAttempt starts an attempt whose deadline is 59 s away.
 func startAttempt(p *Pool, id string) {
 	p.StartAttempt(dispatch.StartAttempt{RequestID: id, Engine: "s-1", DeadlineAtMS: 60000}, 0, query)
 }
 
-// TestQueuedRequestIsWithdrawn checks that what waits behind a blocked writer never
-// runs if it is cancelled or expires or its engine drains: its end is reported at once,
-// and its engine never sees it. What was being written is cancelled at the engine.
+// TestQueuedRequestIsWithdrawn checks that a request behind a blocked writer never runs
+// if it is cancelled, expires or its engine starts draining: its end is reported at once,
+// and its engine never receives it. A request that is being written is cancelled at the
+// engine instead.
 func TestQueuedRequestIsWithdrawn(t *testing.T) {
 	clientSide, engineSide := net.Pipe() // a write waits until the other side reads
 	defer func() { _ = engineSide.Close() }()
@@ -155,7 +156,7 @@
 	p.SetEndpoint("s-1", "127.0.0.1:1", true, false)
 	p.WithdrawUnwritten()
 	if loop.ended["draining"] != control.NotSent {
-		t.Errorf("its engine drains while it is queued: %v", loop.ended)
+		t.Errorf("queued while its engine starts draining: %v", loop.ended)
 	}
 	p.SetEndpoint("s-1", "127.0.0.1:1", false, false)
 	start("stuck", loop.Now()+350)
@@ -184,12 +185,12 @@
 	}
 	loop.runUntilEnded(t, 4)
 	if loop.ended["late"] != control.NotSent || p.Counters.Withdrawn != 4 || len(c.exchanges) != 1 {
-		t.Errorf("%v, %+v, %d open", loop.ended, p.Counters, len(c.exchanges))
+		t.Errorf("results %v, counters %+v, %d open", loop.ended, p.Counters, len(c.exchanges))
 	}
 }
 
-// TestEngineMovedWhileConnecting checks that an engine that has moved gets nothing on a
-// connection to its old address that comes up later.
+// TestEngineMovedWhileConnecting checks that nothing is written on a connection to an
+// engine's old address if the connection is established only after the change.
 func TestEngineMovedWhileConnecting(t *testing.T) {
 	clientSide, engineSide := testprocess.ConnectedPair(t)
 	loop, p, c := newConnectedPool(clientSide)
@@ -201,12 +202,13 @@
 	_ = engineSide.SetReadDeadline(time.Now().Add(time.Minute))
 	p.closeConnection(c, nil)
 	if n, err := engineSide.Read(make([]byte, 99)); n != 0 || loop.ended["a"] != control.NotSent {
-		t.Errorf("%d bytes, %v, %v", n, err, loop.ended)
+		t.Errorf("%d bytes written, %v, results %v", n, err, loop.ended)
 	}
 }
 
-// TestEngineClosedBeforeTheWrite checks that a request is not written to an engine that
-// has closed, even if that has not been read yet: it provably never ran.
+// TestEngineClosedBeforeTheWrite checks that a request is not written after the engine
+// has closed the connection, even if the reader has not seen the close yet. The request
+// provably never ran.
 func TestEngineClosedBeforeTheWrite(t *testing.T) {
 	clientSide, engineSide := testprocess.ConnectedPair(t)
 	loop, p, c := newConnectedPool(clientSide)
@@ -215,20 +217,20 @@
 		time.Sleep(time.Millisecond)
 	}
 	startAttempt(p, "a")
-	go p.writeLoop(c) // the writer comes first
+	go p.writeLoop(c) // before the reader starts
 	loop.posted <- <-loop.posted
 	go p.readLoop(c)
 	loop.runUntilEnded(t, 1)
 	if loop.ended["a"] != control.ConnectFailed {
-		t.Errorf("%v", loop.ended)
+		t.Errorf("unexpected results: %v", loop.ended)
 	}
 }
 
-// TestReplyBeforeConnectionBreaks checks that a reply counts that came just before the
-// connection broke, although the next request found it broken before it was read.
+// TestReplyBeforeConnectionBreaks checks that a reply that arrived just before the
+// connection broke is still handled, although a write failed before the reply was read.
 func TestReplyBeforeConnectionBreaks(t *testing.T) {
 	clientSide, engineSide := testprocess.ConnectedPair(t)
-	loop, p, c := newConnectedPool(&breakingConn{clientSide, 1}) // the second write meets the break
+	loop, p, c := newConnectedPool(&breakingConn{clientSide, 1}) // the second write fails
 	startAttempt(p, "a")
 	go p.writeLoop(c)
 	_, _ = engineSide.Read(make([]byte, 99))
@@ -239,13 +241,13 @@
 	go p.readLoop(c)
 	loop.runUntilEnded(t, 2)
 	if loop.ended["a"] != control.Served || loop.ended["b"] != control.ConnectFailed {
-		t.Errorf("%v", loop.ended)
+		t.Errorf("unexpected results: %v", loop.ended)
 	}
 }
 
-// TestLocalCloseDelaysTheEnd checks that when this side closes a connection, for a
-// malformed reply, its attempts end only when the close has had time to arrive: until
-// then another attempt would be a second one in flight.
+// TestLocalCloseDelaysTheEnd checks that if the pool closes a connection because of a
+// malformed reply, its attempts end only after the close has had time to arrive. If they
+// ended earlier, the next attempt could run at the same time as the first.
 func TestLocalCloseDelaysTheEnd(t *testing.T) {
 	clientSide, engineSide := testprocess.ConnectedPair(t)
 	loop, p, c := newConnectedPool(clientSide)
@@ -257,19 +259,19 @@
 	timers := len(*loop.timers)
 	loop.runUntil(t, func() bool { return len(*loop.timers) > timers })
 	if len(loop.ended) != 0 {
-		t.Errorf("ended with the close: %v", loop.ended)
+		t.Errorf("ended before the close could arrive: %v", loop.ended)
 	}
 	for _, f := range (*loop.timers)[timers:] {
 		f()
 	}
 	if loop.ended["a"] != control.Reset {
-		t.Errorf("%v", loop.ended)
+		t.Errorf("unexpected results: %v", loop.ended)
 	}
 }
 
-// TestUnresponsiveConnection checks that a connection that owes a reply and is silent
-// gets nothing new until it replies, although others to its engine do, and that the
-// youngest is used if too many are silent.
+// TestUnresponsiveConnection checks that no new request is sent on an unresponsive
+// connection until a reply arrives on it, although other connections to its engine get
+// replies, and that the newest connection is used if too many are unresponsive.
 func TestUnresponsiveConnection(t *testing.T) {
 	loop := &fakeLoop{posted: make(chan func(), 64), ended: map[string]control.Result{}}
 	p := New(loop, Options{Classes: []string{"load"}, StreamsPerConnection: 32, MaxConnections: 9, IdleTimeout: time.Minute, ConnectTimeout: time.Minute})
@@ -289,7 +291,7 @@
 		return e.attempts[attemptKey{fmt.Sprint(n), 0}].connection
 	}
 	a := open()
-	loop.now += 10 * unresponsiveAfterMS // idle is not unresponsive
+	loop.now += 10 * unresponsiveAfterMS // an idle connection is not unresponsive
 	for range 3 {
 		if start() != a {
 			t.Fatal("not sent on the existing connection")
@@ -302,7 +304,7 @@
 	}
 	p.handleReply(b, &reply{id: "nobody", kind: replyResult})
 	if start() != b {
-		t.Error("the unresponsive connection has more open, and was preferred")
+		t.Error("an unresponsive connection was preferred, because it has more open requests")
 	}
 	p.handleReply(a, &reply{id: "1", kind: replyRejected})
 	if start() != a {
@@ -315,12 +317,12 @@
 	}
 	loop.now += unresponsiveAfterMS + 1
 	if got := start(); got != e.connections[maxUnresponsive-1] || len(e.connections) != maxUnresponsive {
-		t.Errorf("with %d unresponsive connections the youngest is not used", maxUnresponsive)
+		t.Errorf("with %d unresponsive connections, the newest is not used", maxUnresponsive)
 	}
 }
 
 // TestDescriptorShortage checks that a shortage of connections or descriptors at the
-// front end is not held against the engine: the requests were not sent.
+// front end does not count as a failure of the engine: the requests end as not sent.
 func TestDescriptorShortage(t *testing.T) {
 	loop := &fakeLoop{posted: make(chan func(), 16), ended: map[string]control.Result{}}
 	p := New(loop, Options{Classes: []string{"load"}, StreamsPerConnection: 32, MaxConnections: 1, ConnectTimeout: time.Minute})
@@ -329,15 +331,15 @@
 	p.StartAttempt(dispatch.StartAttempt{RequestID: "a", Engine: "s-1", DeadlineAtMS: 1500}, 0, query)
 	p.StartAttempt(dispatch.StartAttempt{RequestID: "b", Engine: "s-2", DeadlineAtMS: 1500}, 0, query)
 	if loop.ended["b"] != control.NotSent {
-		t.Errorf("without a connection: %v", loop.ended)
+		t.Errorf("at the connection limit: %v", loop.ended)
 	}
 	p.dialDone(p.engines["s-1"].connections[0], nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)})
 	if loop.ended["a"] != control.NotSent || p.Counters.NoConnection != 2 || p.connectionCount != 0 {
-		t.Errorf("without a descriptor: %v, %+v", loop.ended, p.Counters)
+		t.Errorf("without a free descriptor: %v, %+v", loop.ended, p.Counters)
 	}
 }
 
-// TestRemovedEnginesAreForgotten checks that nothing is kept of removed engines.
+// TestRemovedEnginesAreForgotten checks that removed engines are deleted from the pool.
 func TestRemovedEnginesAreDeleted(t *testing.T) {
 	p := New(&fakeLoop{}, Options{})
 	for _, id := range []string{"s-1", "s-2", "s-3"} {
@@ -346,13 +348,13 @@
 	p.SetEndpoint("s-1", "", false, true)
 	p.Retain(map[string]bool{"s-3": true})
 	if len(p.engines) != 1 || p.engines["s-3"] == nil {
-		t.Errorf("%d engines known", len(p.engines))
+		t.Errorf("%d engines in the pool, want only s-3", len(p.engines))
 	}
 }
 
-// TestRemainingTimeIsThatOfTheWrite checks that an engine is told the time that is left
-// when the request is written, however long the connection took to come up, and that
-// an expired request is not written.
+// TestRemainingTimeIsThatOfTheWrite checks that a request states the time that is left when it
+// is written, however long the connection took to be established, and that an expired
+// request is not written.
 func TestRemainingTimeAtTheWrite(t *testing.T) {
 	clientSide, engineSide := testprocess.ConnectedPair(t)
 	loop, p, c := newConnectedPool(clientSide)
@@ -365,17 +367,17 @@
 	_ = engineSide.SetReadDeadline(time.Now().Add(time.Minute))
 	n, err := engineSide.Read(buf)
 	if got := string(buf[:n]); err != nil || !strings.HasPrefix(got, "PULL a c=load,w=300,nice=1 1\r\n") || strings.Contains(got, "PULL b") {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("written: %q, %v", got, err)
 	}
 	loop.runUntilEnded(t, 1)
 	if loop.ended["b"] != control.NotSent {
-		t.Errorf("%v", loop.ended)
+		t.Errorf("unexpected results: %v", loop.ended)
 	}
 }
 
-// TestOnlyKnownVerbsEndAnAttempt checks that status replies end nothing, and that an
-// unknown verb cancels the attempt, whose end is reported only when the engine has been
-// notified: until then another attempt would be a second one in flight.
+// TestOnlyKnownVerbsEndAnAttempt checks that status replies do not end an attempt, and
+// that an unknown verb cancels it. The end is reported only after the cancellation has
+// had time to arrive: otherwise the next attempt could run at the same time as the first.
 func TestOnlyKnownVerbsEndAnAttempt(t *testing.T) {
 	clientSide, engineSide := testprocess.ConnectedPair(t)
 	loop, p, c := newConnectedPool(clientSide)
@@ -392,19 +394,19 @@
 	p.handleReply(c, &reply{id: "b", kind: replyUnknown, verb: "LATER"})
 	p.handleReply(c, &reply{id: "b", kind: replyUnknown, verb: "LATER"})
 	if len(loop.ended) != 0 || len(c.exchanges) != 2 || p.Counters.StatusReplies != 2 || p.Counters.MalformedStatuses != 1 || p.Counters.UnknownVerbs != 2 {
-		t.Fatalf("%v, %d open, %+v", loop.ended, len(c.exchanges), p.Counters)
+		t.Fatalf("results %v, %d open, counters %+v", loop.ended, len(c.exchanges), p.Counters)
 	}
 	n, _ := engineSide.Read(buf)
 	if got := string(buf[:n]); got != "KILL b\r\n" {
 		t.Errorf("written: %q", got)
 	}
 	timers := len(*loop.timers)
-	(<-loop.posted)() // the word is written
+	(<-loop.posted)() // the cancellation is written
 	if len(loop.ended) != 0 || len(*loop.timers) != timers+1 {
-		t.Fatalf("%v, %d timers, %d before", loop.ended, len(*loop.timers), timers)
+		t.Fatalf("results %v, %d timers, %d before the write", loop.ended, len(*loop.timers), timers)
 	}
 	(*loop.timers)[timers]()
 	if _, a := loop.ended["a"]; a || loop.ended["b"] != control.Reset {
-		t.Errorf("%v", loop.ended)
+		t.Errorf("unexpected results: %v", loop.ended)
 	}
 }
--- a/internal/engineclient/protocol.go
+++ b/internal/engineclient/protocol.go
@@ -14,24 +14,23 @@
 	"dewhill/internal/lineproto"
 )
 
-// The engines' line protocol. This file is the only one that knows its verbs
-// and field names.
+// The engines' line protocol. Its verbs and field names appear in this file only.
 
-// The limits on what an engine may send.
+// The limits on the replies of an engine.
 const (
 	maxLineBytes   = 4 << 10
 	maxPageBytes   = 6000
 	maxPages       = 1024
-	maxResultBytes = 48000 // of all pages together
+	maxResultBytes = 48000 // all pages together
 	columnsPerRow  = 3
-	lengthBits     = 31 // of stated lengths and counts
+	lengthBits     = 31 // size of the integers in lengths and counts
 )
 
 var crlf = []byte("\r\n")
 
-// requestLine is the first line of a request; the statement follows it. The
-// engine is told the time that the client has left at nowMS, when the line is
-// written: the connection may have taken its time to come up.
+// requestLine returns the first line of a request, which the statement follows. The
+// line states the time that is left until the request's deadline at nowMS, the time
+// of the write, because the request may have waited for its connection.
 func requestLine(r *request, nowMS float64) string {
 	key := ""
 	if r.idempotencyKey != "" {
@@ -48,20 +47,20 @@
 func probeLine(id string) string                  { return "METER " + id }
 func probeID(number int) string                   { return fmt.Sprintf("m%d", number) }
 
-// replyKind is what a reply says of its request.
+// replyKind is the meaning of a reply for its request or probe.
 type replyKind int
 
-// The kinds of replies. Any other verb is taken for replyUnknown.
+// The kinds of replies. Verbs that are not in replyKinds are replyUnknown.
 const (
 	replyUnknown   replyKind = iota
-	replyResult              // the request is done; this is page 0 of its result
-	replyRejected            // the engine is full: the request never ran
-	replyError               // the request may have run, or a page is lost
-	replyExpired             // the request was over before it began: it never ran
-	replyStatus              // the request goes on
+	replyResult              // the request is complete; this is page 0 of its result
+	replyRejected            // the engine is at capacity: the request never ran
+	replyError               // the request failed and may have run, or a page is lost
+	replyExpired             // the request expired before it started: it never ran
+	replyStatus              // the request is still running
 	replyPage                // a further page of the result
-	replyHealthy             // to a probe
-	replyUnhealthy           // to a probe
+	replyHealthy             // reply to a probe
+	replyUnhealthy           // reply to a probe
 )
 
 var replyKinds = map[string]replyKind{
@@ -86,7 +85,7 @@
 	fieldStatusLevel = "num"
 )
 
-// reply is one reply of an engine.
+// reply is one reply from an engine.
 type reply struct {
 	id     string // of the request or probe
 	kind   replyKind
@@ -95,10 +94,10 @@
 	body   []byte
 }
 
-// errMalformedReply is wrapped by all errors about a reply's form.
+// errMalformedReply is wrapped by all errors about malformed replies.
 var errMalformedReply = errors.New("malformed reply")
 
-// readReply reads one reply: ID VERB FIELDS LENGTH, then as many bytes and a
+// readReply reads one reply: a line ID VERB FIELDS LENGTH, then LENGTH bytes and a
 // line end.
 func readReply(buffer *lineproto.Buffer) (*reply, error) {
 	line, err := buffer.ReadLine()
@@ -148,7 +147,7 @@
 	return fields, nil
 }
 
-// positiveField returns a field that holds a whole number from 1 up.
+// positiveField returns the value of a field that must be an integer of at least 1.
 func (r *reply) positiveField(name string) (int, error) {
 	n, err := strconv.ParseUint(r.fields[name], 10, lengthBits)
 	if err != nil || n < 1 {
@@ -157,7 +156,8 @@
 	return int(n), nil
 }
 
-// numberField returns a field that holds a number from 0 up; 0 if it does not.
+// numberField returns the value of a field that holds a finite number of at least 0,
+// and 0 for any other field.
 func (r *reply) numberField(name string) float64 {
 	number, ok := parseNumber(r.fields[name])
 	if !ok {
@@ -166,16 +166,16 @@
 	return number
 }
 
-// parseNumber reads a finite number from 0 up.
+// parseNumber parses a finite number of at least 0.
 func parseNumber(text string) (float64, bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	ok := err == nil && number >= 0 && !math.IsInf(number, 0)
 	return number, ok
 }
 
-// status returns what a status reply says of its attempt; ok is false if it is
-// malformed. The decisions judge attempts by it, so a level out of range counts
-// as malformed.
+// status returns the status of an attempt; ok is false if the reply is malformed. A
+// level out of range counts as malformed, because package control bases decisions
+// about attempts on the level.
 func (r *reply) status() (kind dispatch.StatusKind, level float64, ok bool) {
 	name := r.fields[fieldStatus]
 	text := r.fields[fieldStatusLevel]
@@ -198,12 +198,13 @@
 	}
 }
 
-// absent marks a value that a load report does not have.
+// absent is the value of numbers that a load report does not contain.
 const absent = -1
 
-// loadReport returns the reply's load report, as in inflight:7;util:0.61, or nil
-// without one. A report with a malformed value, or with no known one, is
-// malformed as a whole: by a part of it a full engine could look idle.
+// loadReport returns the reply's load report, such as inflight:7;util:0.61, or nil if
+// there is none. A report with a malformed value, or without any known name, is
+// malformed as a whole, because an engine at capacity could look idle by the rest of
+// its report.
 func (r *reply) loadReport() (report *control.LoadReport, malformed bool) {
 	text := r.fields[fieldLoadReport]
 	if text == "" {
@@ -236,8 +237,8 @@
 	return report, false
 }
 
-// loadReportValue returns where a report's value of a name belongs; nil for an
-// unknown name.
+// loadReportValue returns a pointer to the field for a name in a load report, or nil
+// if the name is unknown.
 func loadReportValue(report *control.LoadReport, name string) *float64 {
 	switch name {
 	case "inflight", "rif":
@@ -255,9 +256,9 @@
 	}
 }
 
-// checkPage returns an error unless a page is complete rows of UTF-8. Encoded as
-// JSON for the client, other bytes would be replaced, and rows cut short would
-// pass for rows.
+// checkPage returns an error unless a page consists of complete rows in UTF-8. The
+// JSON encoding for the client would replace invalid bytes, and the client could not
+// tell a truncated row from a complete one.
 func checkPage(page []byte) error {
 	if len(page) == 0 {
 		return nil
--- a/internal/engineclient/protocol_test.go
+++ b/internal/engineclient/protocol_test.go
@@ -12,7 +12,7 @@
 	"dewhill/internal/testprocess"
 )
 
-// TestRepliesInPieces checks that replies read the same in whatever pieces they arrive.
+// TestRepliesInPieces checks that replies are read alike however they are split into segments.
 func TestRepliesInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all strings.Builder
@@ -33,7 +33,7 @@
 	})
 }
 
-// TestMalformedPages checks that a page must be complete rows of text.
+// TestMalformedPages checks that a page must consist of complete rows of UTF-8 text.
 func TestMalformedPages(t *testing.T) {
 	for page, valid := range map[string]bool{"": true, "a\t1\té\n": true, "a\t1\t\nb\t\t\n": true, "a\t1\tx": false, "a\t1\tx\nb\t2\n": false,
 		"a\t1\tx\ty\n": false, "a\t1\t\xff\xfe\n": false, "\n": false, "\t\t\n\n": false} {
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestMalformedReplies checks that malformed input ends in an error, never in a panic,
+// TestMalformedReplies checks that malformed input leads to an error, never to a panic,
 // an endless wait or a body over the limit.
 func TestMalformedReplies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -61,8 +61,8 @@
 	})
 }
 
-// TestMalformedLoadReports checks that a report with a malformed value, or without a
-// known one, is dropped as a whole and reported as malformed.
+// TestMalformedLoadReports checks that a load report with a malformed value, or without
+// any known name, is dropped as a whole and reported as malformed.
 func TestMalformedLoadReports(t *testing.T) {
 	for _, c := range []struct {
 		text             string
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestStatuses checks that a status is passed on if its level is in range, and is
-// malformed otherwise.
+// TestStatuses checks that a status with a level in its range is returned, and that any
+// other is malformed.
 func TestStatuses(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
--- a/internal/engineclient/replies.go
+++ b/internal/engineclient/replies.go
@@ -7,7 +7,7 @@
 	"dewhill/internal/dispatch"
 )
 
-// handleReply takes a reply from a connection.
+// handleReply handles a reply that was read from a connection.
 func (p *Pool) handleReply(c *connection, r *reply) {
 	if c.closed {
 		return
@@ -41,16 +41,16 @@
 	case replyStatus:
 		p.handleStatus(ex, r)
 	case replyHealthy, replyUnhealthy, replyUnknown:
-		// The attempt may still run: it is cancelled before another may start.
+		// The attempt may still be running, so it is cancelled before another starts.
 		if !ex.cancelled {
 			p.cancel(ex, control.Reset)
 		}
 	}
 }
 
-// handleLateReply takes a reply to an exchange that has ended: a duplicate, or
-// one that crossed a cancel. The pages of a result are freed; else nothing
-// follows from it.
+// handleLateReply handles a reply to an exchange that has ended: a duplicate, or a
+// reply that crossed a cancellation on the network. Such a reply is ignored, except
+// that the engine is asked to free the pages of a cancelled result.
 func (p *Pool) handleLateReply(c *connection, r *reply) {
 	p.Counters.LateReplies++
 	if r.kind == replyResult && c.cancelledIDs[r.id] && r.numberField(fieldPageCount) > 1 {
@@ -76,7 +76,7 @@
 	p.endExchange(ex, control.Errored)
 }
 
-// handleStatus passes on what an engine reports of an attempt that goes on.
+// handleStatus passes on an engine's status reply about a running attempt.
 func (p *Pool) handleStatus(ex *exchange, r *reply) {
 	kind, level, ok := r.status()
 	if !ok {
@@ -90,8 +90,8 @@
 	p.loop.AttemptStatus(dispatch.AttemptStatus{RequestID: ex.id, Attempt: ex.attempt, Kind: kind, Value: level})
 }
 
-// countReply counts a reply by its verb. An unknown verb is logged with its
-// request, as what follows from it would leave no trace otherwise.
+// countReply counts a reply by its verb. An unknown verb is logged with its request,
+// because the log would not otherwise show why the attempt was cancelled.
 func (p *Pool) countReply(c *connection, r *reply) {
 	if r.kind != replyUnknown {
 		p.Counters.RepliesByVerb[r.verb]++
@@ -103,9 +103,9 @@
 	}
 }
 
-// handleResult takes page 0 of a result and requests all others at once. The
-// result is served when the last one has come, so that after a loss before that
-// the request can still be retried.
+// handleResult handles page 0 of a result and requests all other pages at once. The
+// attempt counts as served only when the last page has arrived, so that the request
+// can still be retried if a page is lost.
 func (p *Pool) handleResult(c *connection, ex *exchange, r *reply) {
 	if ex.acknowledged {
 		p.Counters.DuplicateReplies++
@@ -125,7 +125,7 @@
 	ex.pages = make([][]byte, pageCount)
 	ex.addPage(0, r.body)
 	if ex.cancelled && pageCount > 1 {
-		// The cancel crossed this reply, and the engine still holds the pages.
+		// The cancellation crossed this reply, so the engine still holds the pages.
 		p.discardPages(c, ex.id)
 		return
 	}
@@ -136,7 +136,7 @@
 	p.serveIfComplete(c, ex)
 }
 
-// pageCount returns how many pages a result has.
+// pageCount returns the number of pages of a result.
 func (r *reply) pageCount() (int, error) {
 	count, err := r.positiveField(fieldPageCount)
 	if err != nil {
@@ -174,7 +174,7 @@
 	ex.bytesReceived += len(body)
 }
 
-// serveIfComplete ends an exchange whose pages are all here.
+// serveIfComplete ends an exchange as served if all its pages have arrived.
 func (p *Pool) serveIfComplete(c *connection, ex *exchange) {
 	if ex.pagesReceived < len(ex.pages) || c.closed {
 		return
@@ -187,7 +187,7 @@
 	}
 }
 
-// discardPages lets the engine free a result's pages.
+// discardPages asks the engine to free the pages of a result.
 func (p *Pool) discardPages(c *connection, id string) {
 	p.Counters.Discards++
 	p.enqueue(c, command{line: discardPagesLine(id)})
--- a/internal/engineclient/writer.go
+++ b/internal/engineclient/writer.go
@@ -10,18 +10,19 @@
 
 const (
 	maxBatch     = 64                    // commands in one write
-	drainTimeout = 50 * time.Millisecond // for replies that came before a connection broke
+	drainTimeout = 50 * time.Millisecond // for reading replies that arrived before a write failed
 )
 
-// writeTimedOut reports whether a write has been blocked for too long.
+// writeTimedOut reports whether a write has been blocked for more than
+// writeTimeoutMS.
 func (p *Pool) writeTimedOut(c *connection) bool {
 	started := c.writeStartedMS.Load()
 	return started > 0 && p.loop.Now()-float64(started) > writeTimeoutMS
 }
 
-// writeLoop writes commands, as many at once as are queued, until the connection
-// is closed or breaks. If it breaks, the reader still reads what has arrived: a
-// reply may have come just before.
+// writeLoop writes queued commands in batches until the connection is closed or a
+// write fails. After a failed write the reader still reads the data that has already
+// arrived, which may include replies.
 func (p *Pool) writeLoop(c *connection) {
 	for cmd := range c.commands {
 		if err := p.writeBatch(c, nextBatch(c, cmd)); err != nil {
@@ -33,7 +34,7 @@
 	p.loop.Post(func() { p.goroutineDone(c) })
 }
 
-// nextBatch returns a command and those that are queued behind it.
+// nextBatch returns a command and those queued behind it, at most maxBatch.
 func nextBatch(c *connection, first command) []command {
 	batch := []command{first}
 	for len(batch) < maxBatch {
@@ -50,7 +51,8 @@
 	return batch
 }
 
-// writeBatch writes those commands of a batch that are still to be written.
+// writeBatch writes the commands of a batch, except for requests that were withdrawn
+// or have expired.
 func (p *Pool) writeBatch(c *connection, batch []command) error {
 	nowMS := p.loop.Now()
 	batch = slices.DeleteFunc(batch, func(cmd command) bool {
@@ -68,8 +70,8 @@
 	return err
 }
 
-// claimForWriting moves an exchange to stageWritten and reports whether it did.
-// An expired one is withdrawn instead.
+// claimForWriting moves an exchange from stageQueued to stageWritten and reports
+// whether it did. An expired exchange is withdrawn instead.
 func (p *Pool) claimForWriting(ex *exchange, nowMS float64) bool {
 	if ex.expired(nowMS) {
 		p.loop.Post(func() { p.withdraw(ex) })
@@ -78,9 +80,10 @@
 	return ex.stage.CompareAndSwap(stageQueued, stageWritten)
 }
 
-// writeCommands writes a batch and returns how many bytes were written and where
-// each command ends in them. Requests are not written to an engine that has
-// closed: nobody could tell then whether they ran.
+// writeCommands writes a batch. It returns the number of bytes written and, for each
+// command, the offset of its end. A batch that starts an exchange is not written
+// after the engine has closed the connection, because it would be unknown whether its
+// requests ran.
 func writeCommands(c *connection, batch []command, nowMS float64) (written int, ends []int, err error) {
 	ends = make([]int, len(batch))
 	startsExchange := slices.ContainsFunc(batch, func(cmd command) bool { return cmd.exchange != nil })
@@ -109,8 +112,8 @@
 	e.Bytes(crlf)
 }
 
-// commandWritten notes what became of a command in a write with an error, or
-// with none.
+// commandWritten records the outcome of writing a command: whether it was written
+// completely, and the error of its batch's write, if any.
 func (p *Pool) commandWritten(cmd command, complete bool, err error) {
 	switch {
 	case err == nil && cmd.afterWrite != nil:
