--- a/internal/discovery/compat_test.go
+++ b/internal/discovery/compat_test.go
@@ -14,12 +14,13 @@
 	"dewhill/internal/lineproto"
 )
 
-// shortRequestTimeout ends the wait for a request shorter than the golden one.
+// shortRequestTimeout limits the wait for a request that is shorter than the golden
+// request.
 const shortRequestTimeout = 5 * time.Second
 
-// TestCompatPoll holds the discovery service's form: the golden request, and golden
-// updates with a snapshot, an event of another kind, and a change, with a stated
-// length or in chunks.
+// TestCompatPoll checks the messages to and from the discovery service against golden
+// files: a request, and updates with a snapshot, an event of another kind and a change.
+// The updates are sent with a Content-Length and in chunks.
 func TestCompatPoll(t *testing.T) {
 	request := golden(t, "poll.txt")
 	body := bytes.TrimSuffix(golden(t, "notices.json"), []byte("\n"))
@@ -41,7 +42,7 @@
 		clientSide, serverSide := net.Pipe()
 		polled := make(chan []byte, 1)
 		go func() {
-			// A request that is too short must not wait for the rest of it.
+			// Without a deadline, a request that is too short would block the test.
 			_ = serverSide.SetReadDeadline(time.Now().Add(shortRequestTimeout))
 			got := make([]byte, len(request))
 			n, _ := io.ReadFull(serverSide, got)
@@ -57,7 +58,7 @@
 			continue
 		}
 		if err := updates.Validate(); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: golden updates are invalid: %v", name, err)
 		}
 		encoded, err := json.Marshal(updates)
 		if err != nil || !bytes.Equal(encoded, body) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// TestCompatStates holds the service's names of an endpoint's state.
+// TestCompatStates checks the service's names for the states of an endpoint.
 func TestCompatStates(t *testing.T) {
 	for state, want := range map[State]string{Active: "active", Draining: "leaving", Removed: "left"} {
 		if string(state) != want {
--- a/internal/discovery/endpoints.go
+++ b/internal/discovery/endpoints.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// The types below are the discovery service's JSON, in the field's terms. This
-// file is the only one that knows the service's own names.
+// The types below are the JSON of the discovery service. Their Go names are the terms
+// of the field; the service's own names appear in the tags of this file only.
 
 // State is an endpoint's state.
 type State string
@@ -22,8 +22,8 @@
 	Removed  State = "left"
 )
 
-// String returns the state's name for people; a state that is not known is quoted from
-// the list.
+// String returns the state's name for log lines and views. An unknown state is returned
+// as it was listed.
 func (s State) String() string {
 	switch s {
 	case Active:
@@ -46,28 +46,30 @@
 	Cell        int     `json:"block"`
 	State       State   `json:"health"`
 	Size        float64 `json:"share"`
-	StartedAtMS float64 `json:"born_ms"` // Unix time of its last start
+	StartedAtMS float64 `json:"born_ms"` // Unix time of the engine's last start
 }
 
-// EndpointList is a complete list, if Snapshot is set, or the changed endpoints.
+// EndpointList is the complete list of endpoints if Snapshot is set, and otherwise the
+// endpoints that changed.
 type EndpointList struct {
 	Snapshot  bool       `json:"whole"`
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// Update is one numbered event. Endpoints is nil in events of other kinds.
+// Update is one numbered event of the service. Endpoints is nil in events that are not
+// about endpoints.
 type Update struct {
 	Revision  int64         `json:"rev"`
 	Endpoints *EndpointList `json:"pool"`
 }
 
-// Updates are the events up to a revision.
+// Updates are the events of one response, up to a revision.
 type Updates struct {
 	Revision int64    `json:"rev"`
 	Updates  []Update `json:"notices"`
 
-	// SincePrevious is how long before this response the one before it came, which had
-	// none of the updates; 0 if there was none before. Watch sets it.
+	// SincePrevious is the time between the previous valid response, which had none of
+	// these updates, and this response; 0 for the first response. Watch sets it.
 	SincePrevious time.Duration `json:"-"`
 }
 
@@ -79,15 +81,15 @@
 	errUnknownState   = errors.New("unknown state")
 )
 
-// SortByRevision puts events in order and drops repeated ones. A service that
-// repeats itself or loses the order would otherwise be refused for good.
+// SortByRevision sorts the events by revision and drops duplicates. Without it, the
+// responses of a service that repeats or reorders events would always be rejected.
 func (u *Updates) SortByRevision() {
 	slices.SortStableFunc(u.Updates, func(a, b Update) int { return cmp.Compare(a.Revision, b.Revision) })
 	u.Updates = slices.CompactFunc(u.Updates, func(a, b Update) bool { return a.Revision == b.Revision })
 }
 
-// Validate returns an error if the events are not in order or an endpoint can't
-// be used. None of such updates may be applied.
+// Validate returns an error if the events are out of order or an endpoint is invalid. If
+// it does, none of the updates may be applied.
 func (u *Updates) Validate() error {
 	last := int64(0)
 	for _, update := range u.Updates {
@@ -128,12 +130,12 @@
 	return err == nil
 }
 
-// unreachableAddress replaces an address that can't be used.
+// unreachableAddress replaces an invalid address.
 const unreachableAddress = "127.0.0.1:0"
 
-// repair makes invalid endpoints usable: one in an unknown state or without an
-// address counts as draining, so that it gets nothing new, and one without an
-// id is dropped. It returns how many there were.
+// repair makes invalid endpoints valid. An endpoint in an unknown state or without a
+// valid address counts as draining, so that it gets no new requests; an endpoint without
+// an id is dropped. It returns the number of invalid endpoints.
 func (u *Updates) repair() int {
 	repaired := 0
 	for _, update := range u.Updates {
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -16,17 +16,18 @@
 const (
 	maxHeadBytes = 16 << 10
 	maxBodyBytes = 4 << 20
-	lengthBits   = 31 // of stated lengths
+	lengthBits   = 31 // size of the integers in lengths
 
-	// pollWaitMS is how long the service may hold a poll without news.
+	// pollWaitMS is how long the service may hold a poll open while there are no new
+	// events.
 	pollWaitMS = 1000
 )
 
-// errMalformedResponse is wrapped by the errors about a response's form.
+// errMalformedResponse is wrapped by the errors about malformed responses.
 var errMalformedResponse = errors.New("malformed response")
 
-// poll asks for the events after a revision. The connection must answer within
-// the timeout.
+// poll requests the events after a revision. The response must arrive within the
+// timeout.
 func poll(conn net.Conn, buffer *lineproto.Buffer, addr string, revision int64, timeout time.Duration) (*Updates, error) {
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
@@ -50,8 +51,8 @@
 	return updates, nil
 }
 
-// readResponse reads an HTTP response whose body has a stated length or comes
-// in chunks, and returns the body.
+// readResponse reads an HTTP response with a Content-Length or a chunked body, and
+// returns the body.
 func readResponse(buffer *lineproto.Buffer) ([]byte, error) {
 	statusLine, fields, err := buffer.ReadHead()
 	if err != nil {
--- a/internal/discovery/unknown_test.go
+++ b/internal/discovery/unknown_test.go
@@ -13,8 +13,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// TestUnknownKeysAreSkipped checks that keys that the protocol doesn't name, at each level
-// of an answer, change nothing, and that an event without a list is one of another kind.
+// TestUnknownKeysAreSkipped checks that unknown keys are ignored at each level of a response,
+// and that an event without an endpoint list is read as an event of another kind.
 func TestUnknownKeysAreIgnored(t *testing.T) {
 	const known = `{"rev":2,"notices":[{"rev":1,"pool":{"whole":true,"hosts":[` +
 		`{"host":"a","dial":"127.0.0.1:1","health":"active","share":2}]}},{"rev":2}]}`
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestAnswersThatAreRefused checks that an answer of another status or form is refused as
-// a whole, and that the next poll asks for the same events again.
+// TestAnswersThatAreRefused checks that a malformed response, or one with another status, is
+// rejected as a whole, and that the next poll requests the same events again.
 func TestRejectedResponses(t *testing.T) {
 	const good = `{"rev":1,"notices":[{"rev":1,"pool":{"hosts":[{"host":"a","health":"left"}]}}]}`
 	rejected := []string{
@@ -82,7 +82,7 @@
 	for range min(wanted, len(polls)) {
 		line := <-polls
 		if want := fmt.Sprintf("GET /board/poll?watch=0&linger=%d HTTP/1.1", pollWaitMS); line != want {
-			t.Errorf("asked %q, want %q", line, want)
+			t.Errorf("polled with %q, want %q", line, want)
 		}
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -1,7 +1,7 @@
 // Package discovery watches the discovery service's list of engines by long
 // polls over HTTP.
 //
-//	watch.go      which polls are made, and what becomes of their responses
+//	watch.go      scheduling polls and handling their results
 //	poll.go       one poll and its response
 //	endpoints.go  the service's JSON, its validation and repair
 package discovery
@@ -18,30 +18,29 @@
 )
 
 const (
-	// pollTimeout is how long a poll may be unanswered before another one is made
-	// beside it. The slow poll is kept for a time: a slow or crowded service
-	// would never be heard if each poll were abandoned just before its response.
+	// pollTimeout is the time without a response after which another poll is made in
+	// parallel. The slow poll stays open: no response would ever be received from a
+	// slow or overloaded service if each poll were abandoned just before its response.
 	pollTimeout       = pollWaitMS*time.Millisecond + 500*time.Millisecond
-	maxPolls          = 4 // at once; a further one replaces the oldest
+	maxPolls          = 4 // open in parallel; a further poll replaces the oldest
 	connectTimeout    = 500 * time.Millisecond
 	initialBackoff    = 20 * time.Millisecond
 	maxBackoff        = 250 * time.Millisecond
-	emptyPollInterval = 20 * time.Millisecond // between responses without news that were not waited for
+	emptyPollInterval = 20 * time.Millisecond // delay after an immediate response without new events
 )
 
-// errUnresponsive is reported when a poll is made beside one without response.
+// errUnresponsive is reported when a poll is made because an earlier one has timed out.
 var errUnresponsive = errors.New("no response: polling again on another connection")
 
-// noRevision is before all revisions.
+// noRevision is lower than all revisions.
 const noRevision = -1
 
-// Watch polls the service at addr for the events after a revision until ctx
-// ends, and calls deliver with them in order, each once. Faults are passed to
-// report, and polling goes on. Both are called on the caller's goroutine.
+// Watch polls the service at addr for the events after a revision until ctx is done.
+// It calls deliver with the events, in order and each exactly once. It passes faults to
+// report and continues polling. Both functions are called on Watch's goroutine.
 //
-// An invalid endpoint makes Watch ask for the same events again. If it is
-// invalid again it counts as draining, so that it does not hide the events
-// after it.
+// If an endpoint is invalid, Watch requests the same events again. If it is invalid
+// again, the endpoint counts as draining, so that it does not hide later events.
 func Watch(ctx context.Context, addr string, revision int64, deliver func(*Updates), report func(error)) {
 	w := watcher{
 		addr:             addr,
@@ -55,21 +54,21 @@
 	w.run(ctx)
 }
 
-// watcher is the state of one Watch. Its fields belong to Watch's goroutine.
+// watcher is the state of one call of Watch. Only Watch's goroutine uses its fields.
 type watcher struct {
 	addr             string
-	revision         int64 // of the last event that was delivered
-	rejectedRevision int64 // revision after which a response was last refused
+	revision         int64 // of the last response that was delivered
+	rejectedRevision int64 // value of revision when a response was last rejected
 	deliver          func(*Updates)
 	report           func(error)
 
-	pending []*pollConn     // polls without a response, oldest first
+	pending []*pollConn     // connections whose poll has no result yet, oldest first
 	results chan pollResult // unbuffered
-	idle    *pollConn       // has answered and can be polled again
-	backoff time.Duration   // before the next poll after a failed one
+	idle    *pollConn       // connection of the last valid response, for the next poll
+	backoff time.Duration   // delay of the next poll after a failed one
 
-	unresponsive bool      // nothing has come since the last poll was made
-	answeredAt   time.Time // when the last valid response came; zero if none did
+	unresponsive bool      // no result has arrived since the last poll was made
+	respondedAt  time.Time // when the last valid response arrived; zero: none yet
 }
 
 // pollConn is a connection to the service with at most one poll open on it.
@@ -78,10 +77,10 @@
 	buffer   *lineproto.Buffer
 	polledAt time.Time
 	ctx      context.Context
-	cancel   context.CancelFunc // closes the connection, whatever it waits for
+	cancel   context.CancelFunc // closes the connection, which ends a dial, read or write
 }
 
-// pollResult is how a poll ended.
+// pollResult is the result of a poll.
 type pollResult struct {
 	source  *pollConn
 	updates *Updates
@@ -113,7 +112,7 @@
 	}
 }
 
-// startPoll polls on the connection that answered last, or on a new one.
+// startPoll polls on the idle connection, or on a new one.
 func (w *watcher) startPoll(ctx context.Context) {
 	if len(w.pending) == maxPolls {
 		w.abandon(w.pending[0])
@@ -137,7 +136,7 @@
 	}()
 }
 
-// poll connects if necessary and asks for the events after a revision.
+// poll connects if necessary and requests the events after a revision.
 func (c *pollConn) poll(addr string, revision int64) (*Updates, error) {
 	if c.conn == nil {
 		dialer := net.Dialer{Timeout: connectTimeout}
@@ -152,8 +151,8 @@
 	return poll(c.conn, c.buffer, addr, revision, maxPolls*pollTimeout)
 }
 
-// handle takes a poll's result and returns when the next poll is due. A
-// response ends all other polls: they asked for the same events.
+// handle handles a poll's result and returns the delay until the next poll. A valid
+// response cancels all other polls, because they requested the same events.
 func (w *watcher) handle(result pollResult) time.Duration {
 	w.unresponsive = false
 	err := result.err
@@ -172,10 +171,10 @@
 	w.idle = result.source
 	w.cancelPending()
 	now := time.Now()
-	if !w.answeredAt.IsZero() {
-		result.updates.SincePrevious = now.Sub(w.answeredAt)
+	if !w.respondedAt.IsZero() {
+		result.updates.SincePrevious = now.Sub(w.respondedAt)
 	}
-	w.answeredAt = now
+	w.respondedAt = now
 	if result.updates.Revision > w.revision {
 		w.revision = result.updates.Revision
 		w.deliver(result.updates)
@@ -187,7 +186,7 @@
 	return 0
 }
 
-// cancelPending ends all polls without a response.
+// cancelPending cancels all polls without a result.
 func (w *watcher) cancelPending() {
 	for _, conn := range w.pending {
 		conn.cancel()
@@ -195,7 +194,7 @@
 	w.pending = w.pending[:0]
 }
 
-// abandon ends one poll.
+// abandon cancels one poll.
 func (w *watcher) abandon(conn *pollConn) {
 	conn.cancel()
 	w.remove(conn)
@@ -205,8 +204,8 @@
 	w.pending = slices.DeleteFunc(w.pending, func(other *pollConn) bool { return other == conn })
 }
 
-// check returns an error if updates can't be used. It repairs what was refused
-// before at the same revision.
+// check returns an error if updates are invalid. If a response was already rejected at
+// the same revision, check repairs the updates instead.
 func (w *watcher) check(updates *Updates) error {
 	updates.SortByRevision()
 	err := updates.Validate()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -17,12 +17,12 @@
 	"dewhill/internal/testprocess"
 )
 
-// listed is a body of one event with one endpoint.
+// listed is the body of a response with one event about one endpoint.
 const listed = `{"rev":41,"notices":[{"rev":41,"pool":{"seq":7,"whole":false,"hosts":[{"host":"s-00c41f7a",
 	"dial":"10.1.0.9:5050","site":"east","class":"std","block":2,"health":"active","share":4,"born_ms":0}]}}]}`
 
-// TestResponsesInPieces checks that a response reads the same in whatever pieces it
-// arrives, with a stated length or in chunks.
+// TestResponsesInPieces checks that a response with a Content-Length or a chunked body is
+// read alike however it is split into segments.
 func TestResponsesInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		message := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(listed), listed)
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestMalformedResponses checks that malformed input is an error, or updates that
-// are valid.
+// TestMalformedResponses checks that malformed input leads to an error or to valid
+// updates.
 func TestMalformedResponses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := lineproto.New(testprocess.NewChunkedConn(t, testprocess.MalformedMessage(t, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
@@ -59,10 +59,9 @@
 	})
 }
 
-// TestWatchThroughDisorder checks that a service that repeats itself, loses the order
-// or answers at once without news is watched all the same: each event is delivered
-// once, in order, and polls are spaced. What comes after the watch has ended is not
-// delivered.
+// TestWatchThroughDisorder checks that each event is delivered once and in order if
+// the service repeats or reorders events, and that polls are spaced if it responds at
+// once without new events. An event that arrives after Watch has ended is not delivered.
 func TestWatchOrdersAndDeduplicates(t *testing.T) {
 	events := func(revision int, eventRevisions ...int) string {
 		updates := fakes.Updates{Revision: revision, Updates: []fakes.Update{}}
@@ -76,7 +75,7 @@
 		switch p.Number {
 		case 1:
 			return events(4, 4, 2, 3, 3)
-		case 2: // repeats an event, and an older one
+		case 2: // repeats event 4 and an older event
 			return events(4, 4, 1)
 		case 3:
 			return events(6, 6, 5)
@@ -112,13 +111,13 @@
 	}
 }
 
-// removed is an endpoint that has left.
+// removed returns an endpoint in the state Removed.
 func removed(id string) fakes.Endpoint { return fakes.Endpoint{ID: id, State: fakes.Removed} }
 
-// TestInvalidEndpointHidesNothing checks that a response with an endpoint in an unknown
-// state, without an address or without an id is refused and asked for again; listed so
-// twice, that endpoint counts as draining, and the changes beside it and after it are
-// not lost.
+// TestInvalidEndpointHidesNothing checks that a response with an endpoint in an
+// unknown state, without an address or without an id is rejected and requested again. If
+// the endpoint is invalid again, it counts as draining (without an id, it is dropped),
+// and the changes beside it and after it are delivered.
 func TestInvalidEndpointDoesNotHideOthers(t *testing.T) {
 	const addr = "127.0.0.1:1"
 	updates := []fakes.Updates{
@@ -155,8 +154,8 @@
 	}
 }
 
-// TestSlowServiceIsWatched checks that a service whose responses take longer than the
-// poll timeout is heard all the same, and that the polls open at once stay bounded.
+// TestSlowServiceIsWatched checks that responses that take longer than the poll timeout
+// are still received, and that the number of parallel polls stays bounded.
 func TestSlowServiceIsWatched(t *testing.T) {
 	const slow = pollTimeout + time.Second
 	service := fakes.NewScriptedDiscovery(t, func(fakes.Poll) string {
@@ -172,22 +171,22 @@
 		}
 	})
 	if open := service.MaxConnections(); timeouts == 0 || open > maxPolls {
-		t.Errorf("%d timeouts, %d polls at once", timeouts, open)
+		t.Errorf("%d timeouts, %d polls in parallel", timeouts, open)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		t.Error("the service was not heard")
+		t.Error("no response of the service was received")
 	}
 }
 
-// TestSincePrevious checks that updates tell how long before them the last response
-// without them came, whether it had updates of its own or none.
+// TestSincePrevious checks that SincePrevious is the time since the previous response,
+// whether that one had updates or not.
 func TestSincePrevious(t *testing.T) {
 	const delay = 300 * time.Millisecond
 	service := fakes.NewScriptedDiscovery(t, func(p fakes.Poll) string {
 		switch p.Number {
 		case 1:
 			return fakes.OneUpdate(1, false, removed("a")).JSON()
-		case 2: // no news
+		case 2: // no new events
 			return fakes.Updates{Revision: 1, Updates: []fakes.Update{}}.JSON()
 		default:
 			time.Sleep(delay)
@@ -206,11 +205,11 @@
 	}, func(error) {})
 	elapsed := time.Since(begun)
 	if len(spans) != 3 || spans[0] != 0 {
-		t.Fatalf("%v", spans)
+		t.Fatalf("values of SincePrevious: %v, want three, the first 0", spans)
 	}
 	for _, span := range spans[1:] {
 		if span < delay || span > elapsed-delay {
-			t.Errorf("%v after the response before it, of %v for all", span, elapsed)
+			t.Errorf("SincePrevious is %v within a watch of %v", span, elapsed)
 		}
 	}
 }
