--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -15,8 +15,8 @@
 	body string
 }
 
-// TestCompatDatagrams: front ends of the version before take a datagram by its
-// mark, version, kind and checksum.
+// TestCompatDatagrams checks the frame of datagrams against a golden file. Front ends of
+// the previous version accept a datagram by its magic number, version, kind and checksum.
 func TestCompatDatagrams(t *testing.T) {
 	cases := []goldentest.Case[compatDatagram]{
 		{Name: "fleet", Value: compatDatagram{Membership, "a view"}},
@@ -35,7 +35,7 @@
 	goldentest.Check(t, "datagrams.txt", cases, encode, decode)
 }
 
-// TestCompatUnmarked: a datagram of the decisions has no mark, and is its own body.
+// TestCompatUnframed checks that a datagram of kind Demand has no frame.
 func TestCompatUnframed(t *testing.T) {
 	b := []byte{0x43, 0x48, 0, 0}
 	if kind, body, err := Unwrap(b); kind != Demand || !bytes.Equal(body, b) || err != nil {
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestCompatRefused: what the version before refuses is refused, in the same words.
+// TestCompatRejected checks that the datagrams that the previous version rejects are
+// rejected with the same errors.
 func TestCompatRejected(t *testing.T) {
 	for file, want := range map[string]error{"spoilt.txt": ErrMalformed, "version.txt": ErrVersion} {
 		golden := goldentest.Read(t, file)
@@ -58,15 +59,15 @@
 	}
 }
 
-// TestCompatLimits: the platform and the front ends of the version before know
-// these numbers, and the reports of a front end these words.
+// TestCompatLimits checks the sizes that the platform and front ends of the previous
+// version rely on, and the names of the kinds, which are keys in the counters.
 func TestCompatLimits(t *testing.T) {
 	if MaxDatagramBytes != 256 || Overhead != 6 {
-		t.Errorf("a datagram has %d bytes, %d of them round its body", MaxDatagramBytes, Overhead)
+		t.Errorf("a datagram has at most %d bytes, %d of them for its frame, want 256 and 6", MaxDatagramBytes, Overhead)
 	}
-	for number, word := range []string{"demand", "fleet", "replica", "upkeep", "loads", "unknown"} {
-		if got := Kind(number).String(); got != word {
-			t.Errorf("kind %d is called %q, not %q", number, got, word)
+	for number, name := range []string{"demand", "fleet", "replica", "upkeep", "loads", "unknown"} {
+		if got := Kind(number).String(); got != name {
+			t.Errorf("kind %d has the name %q, want %q", number, got, name)
 		}
 	}
 }
--- a/internal/peer/datagram.go
+++ b/internal/peer/datagram.go
@@ -6,28 +6,27 @@
 	"hash/crc32"
 )
 
-// A datagram is laid out as
+// The layout of a datagram, with sizes in bytes, is
 //
-//	mark and version (1) | kind (1) | body | CRC-32C of all before (4, big endian)
+//	magic and version (1) | kind (1) | body | CRC-32C of the preceding bytes (4, big endian)
 //
-// except for those of kind Demand, which are their own body. Such a body begins
-// with a non-negative float, so its first byte is below 0x80; a front end of a
-// version without kinds reads the mark as a negative number and drops the
-// datagram.
+// Datagrams of kind Demand consist of the body alone. Such a body begins with a
+// non-negative float, so its first byte is below 0x80. A front end of a version without
+// kinds reads the magic number as the start of a negative float and drops the datagram.
 
-// Kind tells which package a datagram belongs to.
+// Kind identifies the package that a datagram belongs to.
 type Kind byte
 
-// The kinds of version 1. A number is never used again for something else.
+// The kinds of version 1. The number of a kind must never be reused for another kind.
 const (
 	Demand      Kind = 0 // internal/demand, without a frame
 	Membership  Kind = 1 // internal/membership
 	Replication Kind = 2 // internal/replication
-	Maintenance Kind = 3 // reserved for the order of maintenance
+	Maintenance Kind = 3 // reserved for ordering maintenance
 	Lease       Kind = 4 // internal/lease
 )
 
-// String returns the kind's name in the operators' counters.
+// String returns the kind's name in the counters that operators read.
 func (k Kind) String() string {
 	switch k {
 	case Demand:
@@ -46,9 +45,9 @@
 }
 
 const (
-	// Overhead is how many bytes a frame adds to a body.
+	// Overhead is the number of bytes that the frame adds to a body.
 	Overhead = headerBytes + checksumBytes
-	// MaxDatagramBytes is the longest datagram that the platform delivers.
+	// MaxDatagramBytes is the length of the longest datagram that the platform delivers.
 	MaxDatagramBytes = 256
 
 	headerBytes   = 2
@@ -58,7 +57,7 @@
 	magic         = 0xD0
 	magicMask     = 0xF0
 	versionMask   = 0x0F
-	minFramedByte = 0x80 // first byte of every framed datagram at least
+	minFramedByte = 0x80 // minimum of a framed datagram's first byte
 )
 
 // The errors of Unwrap.
@@ -69,7 +68,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Wrap returns a framed datagram with a body.
+// Wrap returns a framed datagram of a kind with a body.
 func Wrap(kind Kind, body []byte) []byte { return wrapVersion(version, kind, body) }
 
 func wrapVersion(version byte, kind Kind, body []byte) []byte {
@@ -79,9 +78,8 @@
 	return binary.BigEndian.AppendUint32(datagram, crc32.Checksum(datagram, castagnoli))
 }
 
-// Unwrap returns a datagram's kind and body, which shares its memory. It fails
-// with ErrMalformed or ErrVersion. The kind may be one that this version does
-// not know.
+// Unwrap returns a datagram's kind and body. The body shares the datagram's memory. The
+// error is ErrMalformed or ErrVersion. The kind may be unknown to this version.
 func Unwrap(datagram []byte) (Kind, []byte, error) {
 	if len(datagram) == 0 || datagram[0] < minFramedByte {
 		return Demand, datagram, nil
--- a/internal/peer/datagram_test.go
+++ b/internal/peer/datagram_test.go
@@ -10,8 +10,9 @@
 	"dewhill/internal/testprocess"
 )
 
-// TestWrapUnwrap checks that a datagram comes out as it went in, and that any change
-// to it is found.
+// TestWrapUnwrap checks that Unwrap returns the kind and body that were passed to Wrap,
+// and that it rejects a changed datagram or, if the first byte shows no frame, reads it
+// as kind Demand.
 func TestWrapUnwrap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 60).Draw(t, "body")
@@ -23,13 +24,13 @@
 		changed := testprocess.MalformedMessage(t, string(datagram))
 		kind, got, err = Unwrap(changed)
 		if err == nil && kind != Demand && !bytes.Equal(changed, datagram) {
-			t.Fatalf("%x passes for %v %x", changed, kind, got)
+			t.Fatalf("changed datagram %x was accepted as %v %x", changed, kind, got)
 		}
 	})
 }
 
-// TestVersions checks that a datagram without a frame is its own body, and that
-// another version is told from a malformed datagram.
+// TestVersions checks that a datagram without a frame is of kind Demand, and that a
+// datagram of another version is distinguished from a malformed one.
 func TestVersions(t *testing.T) {
 	if kind, body, err := Unwrap([]byte{0x3f, 0x80, 0, 0}); kind != Demand || len(body) != 4 || err != nil {
 		t.Errorf("%v %x %v", kind, body, err)
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -2,7 +2,7 @@
 // guaranteed.
 //
 //	transport.go  the socket and the addresses of the peers
-//	datagram.go   the frame that tells the packages' datagrams apart
+//	datagram.go   the frame that identifies the package that a datagram belongs to
 package peer
 
 import (
@@ -15,30 +15,29 @@
 	"time"
 )
 
-// receiveBackoff is waited after a receive error. Such errors belong to earlier
-// sends, as when a peer's port is closed.
+// receiveBackoff is the delay after a receive error. Such errors are caused by earlier
+// sends, for example to a peer whose port is closed.
 const receiveBackoff = time.Millisecond
 
-// UnlistedPeer is the index of senders that are not among the listed peers.
+// UnlistedPeer is the index of senders that are not listed peers.
 const UnlistedPeer = -1
 
 var errTooLong = errors.New("datagram too long")
 
-// Transport is the socket for datagrams between front ends. Its fields are set
-// before anything is sent or received; its methods may be called from any
-// goroutine.
+// Transport is the socket for datagrams between front ends. Its exported fields must be
+// set before the first send or receive. Its methods may be called from any goroutine.
 type Transport struct {
 	MaxDatagramBytes int
-	AcceptUnlisted   bool // senders that are not listed are delivered too
+	AcceptUnlisted   bool // deliver datagrams of unlisted senders too
 
 	conn           *net.UDPConn
 	peers          []netip.AddrPort // by index
 	indexByAddr    map[netip.AddrPort]int
-	broadcastAddrs []netip.AddrPort // where Broadcast sends to
+	broadcastAddrs []netip.AddrPort // destinations of Broadcast
 }
 
-// Open binds the socket. Broadcasts go to the address broadcast, or if that is
-// empty to each peer but the one with index self.
+// Open binds the socket. Broadcasts are sent to each peer except the one with index
+// self, or instead to the address broadcast if it is not empty.
 func Open(config *net.ListenConfig, listen string, peers []string, broadcast string, self int) (*Transport, error) {
 	t := &Transport{indexByAddr: map[netip.AddrPort]int{}, MaxDatagramBytes: MaxDatagramBytes}
 	if err := t.setPeers(peers, self); err != nil {
@@ -80,8 +79,8 @@
 // Addr returns the address that the socket is bound to.
 func (t *Transport) Addr() netip.AddrPort { return t.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Broadcast sends a datagram to all peers. It goes on after an error and
-// returns the first.
+// Broadcast sends a datagram to all peers. It continues after an error and returns the
+// first error.
 func (t *Transport) Broadcast(datagram []byte) error {
 	if len(datagram) > t.MaxDatagramBytes {
 		return errTooLong
@@ -96,8 +95,8 @@
 	return first
 }
 
-// SendTo sends a datagram to the peer with an index, or if that is UnlistedPeer
-// to an address.
+// SendTo sends a datagram to the peer with an index, or to the address to if the index
+// is UnlistedPeer.
 func (t *Transport) SendTo(index int, to netip.AddrPort, datagram []byte) error {
 	if len(datagram) > t.MaxDatagramBytes {
 		return errTooLong
@@ -109,9 +108,9 @@
 	return err
 }
 
-// Receive calls deliver with each datagram until the socket is closed. Those
-// that are too long or come from strangers that are not accepted are dropped,
-// with a call of dropped.
+// Receive calls deliver with each datagram until the socket is closed. Datagrams that
+// are too long, and those of unlisted senders unless AcceptUnlisted is set, are dropped,
+// and dropped is called for each of them.
 func (t *Transport) Receive(deliver func(index int, from netip.AddrPort, datagram []byte), dropped func()) {
 	buffer := make([]byte, t.MaxDatagramBytes+1)
 	for {
