--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -1,5 +1,5 @@
-// Package descriptors tells a shortage of file descriptors from other errors. It
-// is a fault of this process or this system, not of the other side, and passes
+// Package descriptors recognizes errors caused by a shortage of file descriptors. Such
+// a shortage is a fault of this process or its host, not of the remote end, and ends
 // when connections are closed.
 package descriptors
 
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// Exhausted reports whether an error means that the process or the system is out
-// of file descriptors.
+// Exhausted reports whether an error means that the process (EMFILE) or the system
+// (ENFILE) has no free file descriptor.
 func Exhausted(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -29,7 +29,7 @@
 		{nil, false},
 	} {
 		if got := Exhausted(test.err); got != test.want {
-			t.Errorf("%v: %v", test.err, got)
+			t.Errorf("Exhausted(%v) = %v, want %v", test.err, got, test.want)
 		}
 	}
 }
--- a/internal/timerheap/timerheap.go
+++ b/internal/timerheap/timerheap.go
@@ -1,7 +1,7 @@
-// Package timerheap holds the timers of an event loop or a simulation: values that
-// become due at a time, ordered by that time and, at one time, by the order in
-// which they were added. It has no clock and starts no goroutine; whoever owns a
-// queue asks it what is due.
+// Package timerheap provides a queue of timers for an event loop or a simulation. A
+// timer is a value that becomes due at a time. Timers are ordered by due time, and those
+// with the same due time by the order in which they were added. The package has no clock
+// and starts no goroutine: the owner of a queue polls it for timers that are due.
 package timerheap
 
 import (
@@ -10,13 +10,13 @@
 )
 
 // Queue is a queue of timers. The zero value is an empty queue. It is not safe for
-// concurrent use. Adding and taking a timer cost O(log n).
+// concurrent use. Add and PopDue take O(log n) time.
 type Queue[T any] struct {
 	timers   timers[T]
-	sequence int // of the timer added last
+	sequence int // of the last timer that was added
 }
 
-// Add adds a timer.
+// Add adds a timer that is due at dueMS and holds a value.
 func (q *Queue[T]) Add(dueMS float64, value T) {
 	q.sequence++
 	heap.Push(&q.timers, timer[T]{dueMS: dueMS, sequence: q.sequence, value: value})
@@ -25,7 +25,7 @@
 // Len returns the number of timers.
 func (q *Queue[T]) Len() int { return len(q.timers) }
 
-// NextDueMS returns when the next timer is due, infinity if there is none.
+// NextDueMS returns the due time of the next timer, or infinity if there is none.
 func (q *Queue[T]) NextDueMS() float64 {
 	if len(q.timers) == 0 {
 		return math.Inf(1)
@@ -33,7 +33,8 @@
 	return q.timers[0].dueMS
 }
 
-// PopDue removes the next timer, if it is due by nowMS, and returns its value.
+// PopDue removes the next timer and returns its value, if it is due at nowMS or earlier.
+// Otherwise ok is false.
 func (q *Queue[T]) PopDue(nowMS float64) (value T, ok bool) {
 	if len(q.timers) == 0 || q.timers[0].dueMS > nowMS {
 		return value, false
@@ -41,14 +42,14 @@
 	return heap.Pop(&q.timers).(timer[T]).value, true
 }
 
-// timer is a value and when it is due.
+// timer is a value with its due time.
 type timer[T any] struct {
 	dueMS    float64
 	sequence int
 	value    T
 }
 
-// timers is a heap.Interface.
+// timers implements heap.Interface.
 type timers[T any] []timer[T]
 
 // Len implements heap.Interface.
@@ -72,7 +73,7 @@
 func (t *timers[T]) Pop() any {
 	last := len(*t) - 1
 	popped := (*t)[last]
-	(*t)[last] = timer[T]{} // let go of the value
+	(*t)[last] = timer[T]{} // allow the value to be garbage-collected
 	*t = (*t)[:last]
 	return popped
 }
--- a/internal/timerheap/timerheap_test.go
+++ b/internal/timerheap/timerheap_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Timers come by due time, then in the order in which they were added, however
-// adding and taking alternate; what is taken is the least of what is there.
+// TestOrder checks that PopDue returns timers by due time, then in the order in which
+// they were added, for any sequence of Add and PopDue.
 func TestOrder(t *testing.T) {
 	type added struct {
 		dueMS    float64
@@ -69,7 +69,7 @@
 			got, ok := q.PopDue(nowMS)
 			slices.SortFunc(pending, byDue)
 			if due := len(pending) > 0 && pending[0].dueMS <= nowMS; ok != due {
-				t.Fatalf("a timer is due: %v, want %v", ok, due)
+				t.Fatalf("PopDue found a due timer: %v, want %v", ok, due)
 			}
 			if !ok {
 				continue
--- a/internal/virtualclock/virtualclock.go
+++ b/internal/virtualclock/virtualclock.go
@@ -1,21 +1,21 @@
-// Package virtualclock is a virtual clock for simulations. Functions run at their
-// time, in its order, in one goroutine, so that a simulation is the same each time.
+// Package virtualclock provides a virtual clock for simulations. Functions run in the
+// order of their times and in one goroutine, so that a simulation is deterministic.
 package virtualclock
 
 import "dewhill/internal/timerheap"
 
 // Clock runs functions at virtual times. The zero value is a clock at 0.
 type Clock struct {
-	NowMS   float64 // milliseconds
+	NowMS   float64 // current virtual time
 	pending timerheap.Queue[func()]
 }
 
-// After has a function run once so many milliseconds have passed. Functions that are
-// due at one time run in the order of the calls of After.
+// After schedules a function to run after a delay in milliseconds. Functions that are
+// due at the same time run in the order of the calls of After.
 func (c *Clock) After(delayMS float64, run func()) { c.pending.Add(c.NowMS+delayMS, run) }
 
-// Run lets so many milliseconds pass. It runs every function that becomes due
-// meanwhile, those included that are added by such functions.
+// Run advances the clock by a duration in milliseconds. It runs every function that
+// becomes due meanwhile, including functions that are scheduled by such functions.
 func (c *Clock) Run(durationMS float64) {
 	endMS := c.NowMS + durationMS
 	for {
@@ -30,16 +30,17 @@
 	c.NowMS = endMS
 }
 
-// Timer fires when a state machine asks for it.
+// Timer calls a function at the time that a state machine requests.
 type Timer struct {
 	clock     *Clock
 	nextMS    func() float64
 	fire      func()
-	firesAtMS float64 // 0: it is not set
+	firesAtMS float64 // 0: the timer is not set
 }
 
-// NewTimer returns a timer that is not set. nextMS returns when the state machine
-// must be woken, infinity if never; fire wakes it, and must call Reset.
+// NewTimer returns a timer that is not set. nextMS returns the time at which the state
+// machine needs its next call, or infinity if it needs none. fire makes that call, and
+// must call Reset.
 func NewTimer(c *Clock, nextMS func() float64, fire func()) *Timer {
 	return &Timer{clock: c, nextMS: nextMS, fire: fire}
 }
@@ -49,16 +50,17 @@
 func (t *Timer) Reset() {
 	nextMS := t.nextMS()
 	if t.firesAtMS > t.clock.NowMS && nextMS >= t.firesAtMS {
-		return // it fires before, and is set again then
+		return // the timer fires earlier and is set again then
 	}
 	t.firesAtMS = nextMS
 	t.clock.After(nextMS-t.clock.NowMS, func() { t.onDue(nextMS) })
 }
 
-// due is called at a time for which the timer was set.
+// onDue is called at each time for which the timer was set. It fires the timer, unless
+// the timer was set to an earlier time or the state machine's time is later by now.
 func (t *Timer) onDue(setForMS float64) {
 	if t.firesAtMS != setForMS {
-		return // it was set to an earlier time since
+		return // the timer was set to another time since
 	}
 	t.firesAtMS = 0
 	if t.nextMS() <= t.clock.NowMS {
--- a/internal/virtualclock/virtualclock_test.go
+++ b/internal/virtualclock/virtualclock_test.go
@@ -27,12 +27,12 @@
 	}
 	clock.Run(60)
 	if len(got) != 5 || got[4] != "late at 110" {
-		t.Errorf("%q, want the late one at 110", got)
+		t.Errorf("%q, want a fifth call \"late at 110\"", got)
 	}
 }
 
-// A timer fires once for each time that the state machine asks for, when it was
-// moved to an earlier or a later time too.
+// TestTimer checks that a timer fires once for each time that the state machine requests,
+// also after that time was moved to an earlier or a later one.
 func TestTimer(t *testing.T) {
 	var clock Clock
 	nextMS := math.Inf(1)
