--- a/internal/adminapi/compat_test.go
+++ b/internal/adminapi/compat_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// recordingController answers requests and records the last change.
+// recordingController is a Controller that records the last change.
 type recordingController struct {
 	ready  bool
-	views  bool // of the fleet and of the state
+	views  bool // whether there are views of the fleet and the state
 	change string
 }
 
@@ -45,10 +45,11 @@
 	return nil
 }
 
-// TestCompatRequests holds the bytes that operators and their tools rely on. Each line
-// of the golden file is a case: its name, then quoted the request's bytes, the change
-// that it makes, and the response's bytes. Names with "busy" are of a front end that
-// takes no clients, names with "alone" of one without views.
+// TestCompatRequests checks requests and responses, on whose bytes operators and their
+// tools rely, against a golden file. Each line of the file is a case: its name, then as
+// quoted strings the request, the change that the request makes, and the response. In a
+// case whose name contains "busy" the front end accepts no clients; in one whose name
+// contains "alone" it has no views.
 func TestCompatRequests(t *testing.T) {
 	text, err := os.ReadFile("testdata/compat/calls.txt")
 	if err != nil {
@@ -56,11 +57,15 @@
 	}
 	for line := range strings.Lines(string(text)) {
 		parts := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
-		name, requestText, change, want := parts[0], unquote(t, parts[1]), unquote(t, parts[2]), unquote(t, parts[3])
-		controller := &recordingController{ready: !strings.Contains(name, "busy"), views: !strings.Contains(name, "alone")}
+		name, requestText := parts[0], unquote(t, parts[1])
+		change, want := unquote(t, parts[2]), unquote(t, parts[3])
+		controller := &recordingController{
+			ready: !strings.Contains(name, "busy"),
+			views: !strings.Contains(name, "alone"),
+		}
 		got := roundTrip(t, controller, requestText)
 		if got != want || controller.change != change {
-			t.Errorf("now\n%s\t%q\t%q\t%q", name, requestText, controller.change, got)
+			t.Errorf("not the golden line:\n%s\t%q\t%q\t%q", name, requestText, controller.change, got)
 		}
 	}
 }
@@ -74,7 +79,7 @@
 	return plain
 }
 
-// converse makes a call and returns the answer.
+// roundTrip sends a request and returns the response.
 func roundTrip(t *testing.T, controller *recordingController, requestText string) string {
 	t.Helper()
 	clientSide, serverSide := net.Pipe()
--- a/internal/adminapi/request.go
+++ b/internal/adminapi/request.go
@@ -15,17 +15,17 @@
 	maxBodyBytes = 64 << 10 // bodies are read and ignored
 )
 
-// errMalformedRequest is answered with 400.
+// errMalformedRequest leads to a response with status 400.
 var errMalformedRequest = errors.New("malformed request")
 
-// request is an operators' request without its body, which no path needs.
+// request is an operator's request. No path uses the body, so it is left out.
 type request struct {
 	method string
 	path   string
 }
 
-// readRequest reads a request with its body. A malformed one is
-// errMalformedRequest; other errors are the connection's.
+// readRequest reads a request with its body. It returns errMalformedRequest for a
+// malformed request; other errors are those of the connection.
 func readRequest(source io.Reader) (request, error) {
 	buffer := lineproto.New(source, maxHeadBytes)
 	firstLine, fields, err := buffer.ReadHead()
--- a/internal/adminapi/routes.go
+++ b/internal/adminapi/routes.go
@@ -11,13 +11,13 @@
 	enginePrefix = "engines/"
 )
 
-// route is what a path does: a view to read, or a change to make.
+// route holds the handlers of a path: a view to read, or a change to make.
 type route struct {
 	read   func() response // GET
 	change func() error    // POST
 }
 
-// handle carries a request out.
+// handle carries out a request and returns its response.
 func (s *Server) handle(r request) response {
 	path, _, _ := strings.Cut(r.path, "?")
 	name, found := strings.CutPrefix(path, pathPrefix)
@@ -37,7 +37,7 @@
 	}
 }
 
-// route finds what a path below the prefix does.
+// route returns the route of a path below pathPrefix, and whether there is one.
 func (s *Server) route(name string) (bool, route) {
 	if rest, found := strings.CutPrefix(name, enginePrefix); found {
 		return s.engineRoute(rest)
@@ -60,7 +60,8 @@
 	}
 }
 
-// engineRoute finds what ID/offline and ID/online do.
+// engineRoute returns the route of ID/offline or ID/online, where ID is an escaped
+// engine id.
 func (s *Server) engineRoute(path string) (bool, route) {
 	escaped, verb, _ := strings.Cut(path, "/")
 	id, err := url.PathUnescape(escaped)
@@ -77,7 +78,7 @@
 	}
 }
 
-// viewRoute is found only where there is such a view.
+// viewRoute returns the route of a view. It is not found if the view is nil.
 func viewRoute(view []byte) (bool, route) {
 	if view == nil {
 		return false, route{}
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -1,10 +1,10 @@
-// Package adminapi serves the operators' HTTP API on an address of its own, one
-// request a connection. A 2xx status means that the request was carried out; a
-// 4xx or 5xx status means that it was not.
+// Package adminapi serves the operators' HTTP API on a separate address, with one
+// request per connection. A 2xx status means that the request was carried out; a 4xx or
+// 5xx status means that it was not.
 //
-//	server.go   connections, their bounds, responses
+//	server.go   connections, their limits, responses
 //	request.go  reading a request
-//	routes.go   what each path does
+//	routes.go   paths and their handlers
 package adminapi
 
 import (
@@ -22,28 +22,30 @@
 	requestTimeout  = 3 * time.Second
 	responseTimeout = time.Second
 	minIncomplete   = 2
-	lingerBytes     = 512 // read after the response, so that closing resets nothing
+	lingerBytes     = 512 // read after the response, so that closing does not reset the connection
 )
 
-// Controller carries requests out. Its methods are called from the server's
+// Controller carries out requests. Its methods are called from the server's
 // goroutines.
 type Controller interface {
-	// Ready reports whether this process takes clients.
+	// Ready reports whether this process accepts clients.
 	Ready() bool
-	// CountersJSON returns the counters.
+	// CountersJSON returns the counters as JSON.
 	CountersJSON() []byte
-	// SetEngineOverride disables an engine by administrative override, or lifts
-	// the override. An error is answered with 404, a *RefusalError as it says.
+	// SetEngineOverride disables an engine by administrative override, or removes
+	// the override. A *RefusalError determines the response; any other error leads
+	// to status 404.
 	SetEngineOverride(engine string, disabled bool) error
-	// SetInService lets the front end serve, or drains it. Errors as above.
+	// SetInService puts the front end in service, or drains it. Errors lead to the
+	// same responses as those of SetEngineOverride.
 	SetInService(inService bool) error
-	// FleetJSON returns the view of the fleet; nil if there is none.
+	// FleetJSON returns the view of the fleet as JSON, or nil if there is none.
 	FleetJSON() []byte
-	// StateJSON returns the replicated state; nil if there is none.
+	// StateJSON returns the replicated state as JSON, or nil if there is none.
 	StateJSON() []byte
 }
 
-// RefusalError is an error with a response of its own.
+// RefusalError is an error that determines the status and body of the response.
 type RefusalError struct {
 	Status int
 	Body   []byte // JSON
@@ -57,26 +59,27 @@
 	controller    Controller
 	maxIncomplete int
 	mu            sync.Mutex
-	incomplete    []net.Conn // callers whose request is not complete, oldest first
+	incomplete    []net.Conn // connections whose request is not complete, oldest first
 }
 
-// New returns a server for at most maxCallers whose requests are incomplete.
+// New returns a server that keeps at most maxIncomplete connections with an incomplete
+// request, and at least minIncomplete.
 func New(controller Controller, maxIncomplete int) *Server {
 	return &Server{controller: controller, maxIncomplete: max(minIncomplete, maxIncomplete)}
 }
 
-// Serve accepts callers until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve(listener net.Listener) {
 	handle := func(conn net.Conn) {
 		s.addIncomplete(conn)
 		go s.serveConn(conn)
 	}
-	ignore := func(error) {} // the caller waits in the backlog
+	ignore := func(error) {} // the connection waits in the backlog until accepting succeeds
 	acceptloop.Run(listener, handle, ignore)
 }
 
-// addWaiting adds a caller. At the limit the oldest one is closed: callers that
-// connect and send nothing must not keep others out.
+// addIncomplete adds a connection. At the limit it closes the oldest connection, so that
+// operators are not locked out by connections on which nothing is sent.
 func (s *Server) addIncomplete(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,21 +90,22 @@
 	s.incomplete = append(s.incomplete, conn)
 }
 
+// removeIncomplete removes a connection whose request has been read or has failed.
 func (s *Server) removeIncomplete(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.incomplete = slices.DeleteFunc(s.incomplete, func(other net.Conn) bool { return other == conn })
 }
 
-// serveConn answers one request. Deadlines that can't be set belong to a
-// connection that is closed, which the read or write after them reports.
+// serveConn serves one request. Errors of SetDeadline are ignored: they mean that the
+// connection is closed, which the following read or write reports.
 func (s *Server) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(requestTimeout))
 	request, err := readRequest(conn)
 	s.removeIncomplete(conn)
 	if err != nil && !errors.Is(err, errMalformedRequest) {
-		return // the connection ended, or its request did not come in time
+		return // the connection was closed, or the request did not arrive in time
 	}
 	resp := response{status: statusBadRequest}
 	if err == nil {
@@ -114,8 +118,8 @@
 	linger(conn)
 }
 
-// linger reads what the caller still sends: closing over unread bytes would
-// reset the connection under its response.
+// linger reads what the client still sends. Closing a connection with unread bytes would
+// reset it, and the client could lose the response.
 func linger(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -134,7 +138,7 @@
 	statusServiceUnavailable = 503
 )
 
-// response is a status and a JSON body; an empty object where that is nil.
+// response is a status and a JSON body. A nil body is sent as an empty object.
 type response struct {
 	status int
 	body   []byte
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -13,7 +13,7 @@
 	"dewhill/internal/testprocess"
 )
 
-// fakeController records the changes it is asked for.
+// fakeController is a Controller that records the requested changes.
 type fakeController struct {
 	changes []string
 	noViews bool
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// requests are requests with what they lead to.
+// requestCases are requests with the expected status and changes.
 var requestCases = []struct {
 	text    string
 	status  int // 0: malformed
@@ -69,7 +69,8 @@
 	{"POST /control/engines/s-1/offline\r\n\r\n", 0, ""},
 }
 
-// TestRequests checks that requests mean the same in whatever pieces they arrive.
+// TestRequests checks the status and the changes of requests, however these are split
+// into segments.
 func TestRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		for _, c := range requestCases {
@@ -89,8 +90,8 @@
 	})
 }
 
-// TestNoViews checks that without a view of the fleet and replicated state there
-// are no such paths, whatever the method.
+// TestNoViews checks that the paths of the fleet and the state are not found, with any
+// method, if the controller has no such views.
 func TestNoViews(t *testing.T) {
 	for _, call := range []string{"GET /control/fleet", "POST /control/fleet", "GET /control/state", "POST /control/state"} {
 		method, path, _ := strings.Cut(call, " ")
@@ -101,8 +102,8 @@
 	}
 }
 
-// TestMalformedRequests checks that malformed input is an error, or a request that
-// changes no more than it says.
+// TestMalformedRequests checks that malformed input leads to an error, or to a request
+// that changes something only if it is a POST to a path of the API.
 func TestMalformedRequests(t *testing.T) {
 	var texts []string
 	for _, c := range requestCases {
@@ -121,8 +122,8 @@
 	})
 }
 
-// TestSilentCallersAreClosed checks that at the limit of callers that send nothing
-// the oldest is closed, and the next one is answered.
+// TestOldestIncompleteRequestIsClosed checks that when too many connections send nothing,
+// the oldest is closed and a request on a new connection is served.
 func TestOldestIncompleteRequestIsClosed(t *testing.T) {
 	server := New(&fakeController{}, 3)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -147,7 +148,7 @@
 		}
 	}
 	if resp, err := io.ReadAll(conns[3]); err != nil || !strings.HasPrefix(string(resp), "HTTP/1.1 200 ") {
-		t.Errorf("%q, %v", resp, err)
+		t.Errorf("response on the new connection: %q, %v", resp, err)
 	}
 	if n, err := conns[0].Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Errorf("the oldest connection: %d bytes, %v", n, err)
