--- a/internal/discovery/unknown_test.go
+++ b/internal/discovery/unknown_test.go
@@ -15,7 +15,7 @@
 
 // TestUnknownKeysAreSkipped checks that unknown keys are ignored at each level of a response,
 // and that an event without an endpoint list is read as an event of another kind.
-func TestUnknownKeysAreIgnored(t *testing.T) {
+func TestUnknownKeysAreSkipped(t *testing.T) {
 	const known = `{"rev":2,"notices":[{"rev":1,"pool":{"whole":true,"hosts":[` +
 		`{"host":"a","dial":"127.0.0.1:1","health":"active","share":2}]}},{"rev":2}]}`
 	const more = `{"later":1,"rev":2,"notices":[{"rev":1,"odd":[1],"pool":{"seq":7,"later":{},"whole":true,"hosts":[` +
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestAnswersThatAreRefused checks that a malformed response, or one with another status, is
+// TestRejectedResponses checks that a malformed response, or one with another status, is
 // rejected as a whole, and that the next poll requests the same events again.
 func TestRejectedResponses(t *testing.T) {
 	const good = `{"rev":1,"notices":[{"rev":1,"pool":{"hosts":[{"host":"a","health":"left"}]}}]}`
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// TestWatchThroughDisorder checks that each event is delivered once and in order if
+// TestWatchOrdersAndDeduplicates checks that each event is delivered once and in order if
 // the service repeats or reorders events, and that polls are spaced if it responds at
 // once without new events. An event that arrives after Watch has ended is not delivered.
 func TestWatchOrdersAndDeduplicates(t *testing.T) {
@@ -114,7 +114,7 @@
 // removed returns an endpoint in the state Removed.
 func removed(id string) fakes.Endpoint { return fakes.Endpoint{ID: id, State: fakes.Removed} }
 
-// TestInvalidEndpointHidesNothing checks that a response with an endpoint in an
+// TestInvalidEndpointDoesNotHideOthers checks that a response with an endpoint in an
 // unknown state, without an address or without an id is rejected and requested again. If
 // the endpoint is invalid again, it counts as draining (without an id, it is dropped),
 // and the changes beside it and after it are delivered.
--- a/internal/engineclient/compat_test.go
+++ b/internal/engineclient/compat_test.go
@@ -29,7 +29,7 @@
 func (l *recordingLoop) AttemptStatus(ev dispatch.AttemptStatus) { l.statuses = append(l.statuses, ev) }
 func (l *recordingLoop) ProbeEnded(ev dispatch.ProbeEnded)       { l.probes = append(l.probes, ev) }
 
-// conversation is a session with a fake engine in which both sides send the golden lines.
+// goldenSession is a session with a fake engine in which both sides send the golden lines.
 type goldenSession struct {
 	t          *testing.T
 	lines      map[string]string
--- a/internal/engineclient/conformance_test.go
+++ b/internal/engineclient/conformance_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestUnknownFieldsAreSkipped checks that unknown fields of a reply are ignored, and that a reply
-// to an unknown id ends no attempt.
-func TestUnknownFieldsAreIgnored(t *testing.T) {
+// TestUnknownFieldsAreSkipped checks that unknown fields of a reply are ignored, and that
+// a reply to an unknown id ends no attempt.
+func TestUnknownFieldsAreSkipped(t *testing.T) {
 	clientSide, engineSide := testprocess.ConnectedPair(t)
 	loop, p, c := newConnectedPool(clientSide)
 	p.StartAttempt(dispatch.StartAttempt{RequestID: "a", Engine: "s-1", DeadlineAtMS: 60000}, 0, query)
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestVerbsOfAnotherCommand checks that a reply to an attempt with the verb of a probe
+// TestProbeVerbCancelsAttempt checks that a reply to an attempt with the verb of a probe
 // does not end the attempt. The attempt is cancelled first, as after an unknown verb.
 func TestProbeVerbCancelsAttempt(t *testing.T) {
 	for _, kind := range []replyKind{replyHealthy, replyUnhealthy} {
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestRepliesThatCostTheConnection checks that a page without a result before it, an
+// TestMalformedRepliesCloseTheConnection checks that a page without a result before it, an
 // impossible number of pages, a field without a value and a repeated field close the
 // connection: the bytes that follow a malformed reply can't be interpreted.
 func TestMalformedRepliesCloseTheConnection(t *testing.T) {
--- a/internal/engineclient/pool_test.go
+++ b/internal/engineclient/pool_test.go
@@ -39,7 +39,7 @@
 	loop.ended[ev.RequestID] = ev.Result
 }
 
-// newUpConnection returns an established connection to an engine.
+// newEstablishedConnection returns an established connection to an engine.
 func newEstablishedConnection(e *engine, socket net.Conn) *connection {
 	c := newConnection(e)
 	c.socket = socket
@@ -339,7 +339,7 @@
 	}
 }
 
-// TestRemovedEnginesAreForgotten checks that removed engines are deleted from the pool.
+// TestRemovedEnginesAreDeleted checks that removed engines are deleted from the pool.
 func TestRemovedEnginesAreDeleted(t *testing.T) {
 	p := New(&fakeLoop{}, Options{})
 	for _, id := range []string{"s-1", "s-2", "s-3"} {
@@ -352,7 +352,7 @@
 	}
 }
 
-// TestRemainingTimeIsThatOfTheWrite checks that a request states the time that is left when it
+// TestRemainingTimeAtTheWrite checks that a request states the time that is left when it
 // is written, however long the connection took to be established, and that an expired
 // request is not written.
 func TestRemainingTimeAtTheWrite(t *testing.T) {
