--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -28,13 +28,8 @@
 		line = appendHeader(line, verbCancelAttempt, instance)
 		line = appendString(line, keyRequestID, action.RequestID)
 		line = appendNumber(line, keyAttempt, float64(action.Attempt))
-<<<<<<< HEAD
-	case control.SetTerms:
-		line = appendHeader(line, verbSetTerms, instance)
-=======
 	case control.SetResources:
-		line = appendHead(line, verbSetTerms, instance)
->>>>>>> wording/1-control-decisions
+		line = appendHeader(line, verbSetTerms, instance)
 		line = appendString(line, keyRequestID, action.RequestID)
 		line = appendNumber(line, keyMemoryMB, action.MemoryMB)
 		line = appendNumber(line, keyPriority, float64(action.Priority))
