--- a/control/attempt.go
+++ b/control/attempt.go
@@ -65,7 +65,7 @@
 		g.recordSlowStartSend(r, e)
 	}
 	if g.settings.CanPrioritize && !isRetry && r.class.isDashboard {
-		g.act(Action{Kind: SetTerms, RequestID: r.id, Priority: dashboardPriority})
+		g.emit(Action{Kind: SetTerms, RequestID: r.id, Priority: dashboardPriority})
 	}
 	r.attempts = append(r.attempts, attempt{
 		engine:             e,
@@ -79,13 +79,13 @@
 		e.load.datasetsLoading = append(e.load.datasetsLoading, r.dataset)
 		g.demand.LoadsChanged()
 	}
-	g.act(Action{Kind: StartAttempt, RequestID: r.id, Engine: e.ID, DeadlineAtMS: r.deadlineAtMS})
+	g.emit(Action{Kind: StartAttempt, RequestID: r.id, Engine: e.ID, DeadlineAtMS: r.deadlineAtMS})
 	return true
 }
 
 func (g *Gateway) cancelAttempt(r *request, index int, reason Reason) {
 	r.attempts[index].cancelled = true
-	g.act(Action{Kind: CancelAttempt, RequestID: r.id, Attempt: index, Reason: reason})
+	g.emit(Action{Kind: CancelAttempt, RequestID: r.id, Attempt: index, Reason: reason})
 }
 
 // handleAttemptStatus records a sign of life of an attempt.
@@ -94,7 +94,7 @@
 	if a == nil {
 		return
 	}
-	a.engine.health.lastResponseAtMS = g.nowMS
+	a.engine.health.lastActivityAtMS = g.nowMS
 	a.lastStatusAtMS = g.nowMS
 	switch ev.Kind {
 	case StreamOpened:
@@ -127,7 +127,7 @@
 	if ev.Result == Served && ev.RequestDone {
 		g.earnings.sinceSweep += g.weightAfter(r, 0)
 	}
-	g.learnFromOutcome(r, a, ev)
+	g.updateEstimates(r, a, ev)
 	g.recordOutcome(a.engine, ev.Result)
 	if ev.Result == Served {
 		g.blameErrors(r)
@@ -190,7 +190,7 @@
 			answer.RetryAfterMS = min(g.settings.MaxRetryAfterMS, retryAfterMS)
 		}
 	}
-	g.act(answer)
+	g.emit(answer)
 }
 
 // mayBeSentAgain reports whether a client may safely send the request again, to
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -35,14 +35,14 @@
 	}
 	clear(g.preferredEngines)
 	g.markRemoved(snapshot)
-	g.forgetRemovedEngines()
+	g.deleteRemovedEngines()
 	g.recountEngines()
 }
 
 // retryWatch asks for the endpoint list again, later.
 func (g *Gateway) retryWatch() {
 	delayMS := minWatchRetryMS + g.rng.Float64()*watchRetryJitterMS
-	g.act(Action{Kind: SetTimer, DelayMS: delayMS, Timer: WatchTimer})
+	g.emit(Action{Kind: SetTimer, DelayMS: delayMS, Timer: WatchTimer})
 }
 
 // updateAvailability settles whether an engine may be used.
@@ -64,9 +64,9 @@
 	}
 }
 
-// forgetRemovedEngines drops engines that were removed long ago and run nothing of
+// deleteRemovedEngines drops engines that were removed long ago and run nothing of
 // this gateway.
-func (g *Gateway) forgetRemovedEngines() {
+func (g *Gateway) deleteRemovedEngines() {
 	g.engines = slices.DeleteFunc(g.engines, func(e *engine) bool {
 		stale := g.nowMS > e.listing.lastPresentAtMS+removedEngineTTLMS && e.load.threads() == 0
 		if stale {
@@ -137,15 +137,15 @@
 
 // EngineCounts counts the engines in the endpoint list, and those of them that get
 // nothing now: draining, disabled or ejected.
-func (g *Gateway) EngineCounts() (listed, avoided int) {
+func (g *Gateway) EngineCounts() (listed, outOfService int) {
 	for _, e := range g.engines {
 		if !e.listing.present {
 			continue
 		}
 		listed++
 		if !e.listing.available || g.isEjected(e) {
-			avoided++
+			outOfService++
 		}
 	}
-	return listed, avoided
+	return listed, outOfService
 }
--- a/control/estimate.go
+++ b/control/estimate.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	learnRate = 0.05 // least weight of a new sample in a running mean: the last 20 or so count
+	minSampleWeight = 0.05 // least weight of a new sample in a running mean: the last 20 or so count
 
 	initialSlowdown  = 1.5 // until learned
 	initialDeviation = 0.4
@@ -14,7 +14,7 @@
 
 	largeWorkFraction = 0.45 // part of its objective that a large request takes on all its threads
 
-	overdueFraction      = 0.5 // part of its delay so far that an overdue attempt is expected to go on
+	overrunFraction      = 0.5 // part of its delay so far that an overdue attempt is expected to go on
 	minRemainingFraction = 0.2 // part of its expected duration that an attempt has left at the least
 )
 
@@ -26,7 +26,7 @@
 
 func (m *runningMean) add(x float64) {
 	m.count++
-	m.value += (x - m.value) * max(learnRate, 1/m.count)
+	m.value += (x - m.value) * max(minSampleWeight, 1/m.count)
 }
 
 // estimates is what was learned of all requests and engines together.
@@ -34,8 +34,8 @@
 	dashboardLatencyMS  runningMean
 	slowdown            runningMean // thread time of secondary attempts over their work
 	slowdownDeviation   runningMean // mean deviation from it, as a part
-	attemptMS           float64     // sum of the durations of attempts
-	attemptThreadMS     float64     // sum of their thread times
+	totalAttemptMS      float64     // sum of the durations of attempts
+	totalThreadMS       float64     // sum of their thread times
 	shortestObjectiveMS float64     // of dashboards
 	largestWorkMS       float64     // of a large request, by the settings
 }
@@ -60,17 +60,17 @@
 
 // recordAttempt adds the duration of an attempt.
 func (est *estimates) recordAttempt(elapsedMS float64, threads int) {
-	est.attemptMS += elapsedMS
-	est.attemptThreadMS += elapsedMS * float64(threads)
+	est.totalAttemptMS += elapsedMS
+	est.totalThreadMS += elapsedMS * float64(threads)
 }
 
 // threadsPerRequest is the mean number of threads of a request in flight.
 func (est *estimates) threadsPerRequest() float64 {
-	return max(1, est.attemptThreadMS/max(1, est.attemptMS))
+	return max(1, est.totalThreadMS/max(1, est.totalAttemptMS))
 }
 
-// recordSecondary learns from the duration of an attempt of secondary work.
-func (est *estimates) recordSecondary(elapsedMS, workMS float64, threads int) {
+// recordSecondaryAttempt learns from the duration of an attempt of secondary work.
+func (est *estimates) recordSecondaryAttempt(elapsedMS, workMS float64, threads int) {
 	slowdown := max(1, est.slowdown.value)
 	sample := min(elapsedMS*float64(threads)/workMS, maxSampleFactor*slowdown)
 	est.slowdownDeviation.add(min(1, math.Abs(sample/slowdown-1)))
@@ -106,7 +106,7 @@
 
 // expectedRemainingMS is how much longer an attempt is expected to take.
 func expectedRemainingMS(ageMS, expectedMS float64) float64 {
-	return max(expectedMS-ageMS, overdueFraction*(ageMS-expectedMS), minRemainingFraction*expectedMS)
+	return max(expectedMS-ageMS, overrunFraction*(ageMS-expectedMS), minRemainingFraction*expectedMS)
 }
 
 // objectiveAtMS is the time after which a response has its late weight only.
@@ -115,10 +115,10 @@
 		r.arrivedAtMS+r.class.LatencyObjectiveMS+r.class.ObjectiveSlope*g.uncontendedDurationMS(r))
 }
 
-// learnFromOutcome learns from an outcome about its class and its engine. An attempt
+// updateEstimates learns from an outcome about its class and its engine. An attempt
 // that was blocked by a load shows what the load does, not its engine, and one that
 // ended in a pause of this gateway shows nothing.
-func (g *Gateway) learnFromOutcome(r *request, a *attempt, ev Event) {
+func (g *Gateway) updateEstimates(r *request, a *attempt, ev Event) {
 	workMS := g.workMS(r)
 	if ev.Result == Served && ev.WorkMS > 0 && r.estimatedWorkMS > 0 {
 		r.class.estimateBias.add(min(max(ev.WorkMS/r.estimatedWorkMS, minEstimateBias), maxEstimateBias))
@@ -127,19 +127,19 @@
 		return
 	}
 	if r.class.isDashboard {
-		g.learnFromDashboard(r, a, ev)
+		g.updateFromDashboard(r, a, ev)
 		return
 	}
 	// Cancelled attempts count: without them a full fleet would look fast, and ever
 	// more of its attempts would be cancelled.
 	if !a.blockedByLoad && (ev.Result == Served || a.cancelled) && workMS > 0 {
-		g.estimates.recordSecondary(ev.ElapsedMS, workMS, r.class.Threads)
+		g.estimates.recordSecondaryAttempt(ev.ElapsedMS, workMS, r.class.Threads)
 	}
 }
 
-// learnFromDashboard records the latency of a dashboard. One without a response
+// updateFromDashboard records the latency of a dashboard. One without a response
 // counts as its objective at least: without it a dead engine would look fast.
-func (g *Gateway) learnFromDashboard(r *request, a *attempt, ev Event) {
+func (g *Gateway) updateFromDashboard(r *request, a *attempt, ev Event) {
 	if ev.Result == Served {
 		a.engine.limit.dashboards.threadsDone += r.class.Threads
 	}
--- a/control/gateway.go
+++ b/control/gateway.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	sweepIntervalMS = 25.0
-	pauseMS         = 100.0 // a sweep later than this shows that the process was paused
+	sweepIntervalMS  = 25.0
+	pauseThresholdMS = 100.0 // a sweep later than this shows that the process was paused
 
-	seedStream = 0x6c617069 // of the random numbers that a seed gives
+	rngStream = 0x6c617069 // of the random numbers that a seed gives
 )
 
 // Gateway decides for one gateway. New returns one that is ready for use.
 type Gateway struct {
-	settings    Settings
-	rng         *rand.Rand
-	nowMS       float64
-	started     bool
-	startedAtMS float64
-	actions     []Action // of the event in hand
-	sweepDueMS  float64
-	pausedAtMS  float64 // when a pause of this process was last found
+	settings          Settings
+	rng               *rand.Rand
+	nowMS             float64
+	started           bool
+	startedAtMS       float64
+	actions           []Action // of the event in hand
+	sweepDueMS        float64
+	pauseDetectedAtMS float64 // when a pause of this process was last found
 
 	classes     []class
 	engineKinds []kindState // the last stands for unknown kinds
@@ -47,7 +47,7 @@
 	retryBudget  retryBudget
 	earnings     earnings
 
-	demand *demand.Ledger // of this gateway and its peers
+	demand *demand.Tracker // of this gateway and its peers
 
 	// Buffers that sweeps use again.
 	latencyRatios []float64
@@ -58,7 +58,7 @@
 func New(s Settings, seed uint64) *Gateway {
 	g := &Gateway{
 		settings:         s,
-		rng:              rand.New(rand.NewPCG(seed, seedStream)),
+		rng:              rand.New(rand.NewPCG(seed, rngStream)),
 		engineByID:       map[string]*engine{},
 		disabledSinceMS:  map[string]float64{},
 		preferredEngines: map[preferenceKey][]*engine{},
@@ -83,8 +83,8 @@
 	if !g.started {
 		g.start()
 	}
-	if nowMS > g.sweepDueMS+pauseMS {
-		g.pausedAtMS = nowMS
+	if nowMS > g.sweepDueMS+pauseThresholdMS {
+		g.pauseDetectedAtMS = nowMS
 	}
 	if ev.Kind == GossipReceived {
 		g.demand.Receive(nowMS, ev.Peer, ev.Message)
@@ -102,7 +102,7 @@
 	g.demand.Start(g.nowMS, g.rng.Float64())
 	g.setSweepTimer()
 	if g.settings.PollsEndpointList {
-		g.act(Action{Kind: WatchEndpoints})
+		g.emit(Action{Kind: WatchEndpoints})
 	}
 }
 
@@ -147,7 +147,7 @@
 		g.sweep()
 		g.setSweepTimer()
 	case WatchTimer:
-		g.act(Action{Kind: WatchEndpoints})
+		g.emit(Action{Kind: WatchEndpoints})
 	default:
 	}
 }
@@ -157,11 +157,11 @@
 // judged by it.
 func (g *Gateway) setSweepTimer() {
 	g.sweepDueMS = g.nowMS + sweepIntervalMS
-	g.act(Action{Kind: SetTimer, DelayMS: sweepIntervalMS, Timer: SweepTimer})
+	g.emit(Action{Kind: SetTimer, DelayMS: sweepIntervalMS, Timer: SweepTimer})
 }
 
 // wasPaused reports whether a pause of this process has just been found.
-func (g *Gateway) wasPaused() bool { return g.pausedAtMS == g.nowMS }
+func (g *Gateway) wasPaused() bool { return g.pauseDetectedAtMS == g.nowMS }
 
 // sweep does what no event asks for.
 func (g *Gateway) sweep() {
@@ -186,6 +186,6 @@
 	g.shedOpenRequests()
 }
 
-func (g *Gateway) act(a Action) { g.actions = append(g.actions, a) }
+func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
-func (g *Gateway) log(entry LogEntry) { g.act(Action{Kind: WriteLog, Log: entry}) }
+func (g *Gateway) log(entry LogEntry) { g.emit(Action{Kind: WriteLog, Log: entry}) }
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -17,7 +17,7 @@
 // broadcastIfDue sends this gateway's demand and loads to the others when due.
 func (g *Gateway) broadcastIfDue(inSweep bool) {
 	if g.demand.BroadcastDue(g.nowMS, inSweep) {
-		g.act(Action{Kind: Broadcast, Message: g.demand.Encode(g.nowMS, g.runningLoads)})
+		g.emit(Action{Kind: Broadcast, Message: g.demand.Encode(g.nowMS, g.runningLoads)})
 	}
 }
 
--- a/control/health.go
+++ b/control/health.go
@@ -9,23 +9,23 @@
 	slowBelowSpeed  = 0.6    // against the median engine
 	minSpeedSamples = 5      // dashboards of an engine by which it is judged
 	minSpeedEngines = 3      // that must be known for a median
-	speedForgetMS   = 3000.0 // in which a judgement without new responses fades
+	speedDecayMS    = 3000.0 // in which a judgement without new responses fades
 	failuresToEject = 2      // in a row, or unresponsive dashboards at once
 	minEjectionMS   = 500.0  // at first, doubling with each failed recovery probe
 	maxEjectionMS   = 5000.0
 
 	// A dashboard in flight is doubted after this part of its objective and this many
-	// times its work, and after lateMultiple times the average dashboard latency.
-	timeoutFraction     = 0.5
-	timeoutWorkMultiple = 2.0
-	lateMultiple        = 4.0
+	// times its work, and after timeoutLatencyMultiple times the average dashboard latency.
+	timeoutObjectiveFraction = 0.5
+	timeoutWorkMultiple      = 2.0
+	timeoutLatencyMultiple   = 4.0
 )
 
 // engineHealth is how an engine answers.
 type engineHealth struct {
 	latencyMS         runningMean // of dashboards
 	workMS            runningMean // of the same
-	lastResponseAtMS  float64     // last sign of life
+	lastActivityAtMS  float64     // last sign of life
 	lastDashboardAtMS float64     // last outcome of a dashboard
 
 	consecutiveFailures    int
@@ -48,8 +48,8 @@
 	h.workMS = runningMean{}
 }
 
-// canBeJudged reports whether enough dashboards were answered to judge the speed.
-func (h *engineHealth) canBeJudged() bool {
+// hasEnoughSamples reports whether enough dashboards were answered to judge the speed.
+func (h *engineHealth) hasEnoughSamples() bool {
 	return h.latencyMS.count >= minSpeedSamples && h.workMS.value > 0
 }
 
@@ -60,7 +60,7 @@
 	ratios := g.latencyRatios[:0]
 	for _, e := range g.engines {
 		e.health.relativeSpeed = 1
-		if e.listing.available && e.health.canBeJudged() {
+		if e.listing.available && e.health.hasEnoughSamples() {
 			ratios = append(ratios, e.health.latencyMS.value/e.health.workMS.value)
 		}
 	}
@@ -71,12 +71,12 @@
 	slices.Sort(ratios)
 	median := ratios[len(ratios)/2]
 	for _, e := range g.engines {
-		if !e.health.canBeJudged() {
+		if !e.health.hasEnoughSamples() {
 			continue
 		}
 		speed := median * e.health.workMS.value / e.health.latencyMS.value
 		if speed <= slowBelowSpeed {
-			fading := math.Exp(-max(0, g.nowMS-e.health.lastDashboardAtMS) / speedForgetMS)
+			fading := math.Exp(-max(0, g.nowMS-e.health.lastDashboardAtMS) / speedDecayMS)
 			e.health.relativeSpeed = 1 - (1-speed)*fading
 		}
 	}
@@ -104,14 +104,14 @@
 	h := &e.health
 	switch result {
 	case Served:
-		h.lastResponseAtMS = g.nowMS
+		h.lastActivityAtMS = g.nowMS
 		h.consecutiveFailures = 0
 		g.recordSuccess(e)
 	case Rejected, ConnectFailed, Reset:
-		h.lastResponseAtMS = g.nowMS
+		h.lastActivityAtMS = g.nowMS
 		g.recordFailure(e)
 	case Errored: // judged once another engine has served the request
-		h.lastResponseAtMS = g.nowMS
+		h.lastActivityAtMS = g.nowMS
 		return
 	case TimedOut, Cancelled, NotSent:
 	default:
@@ -148,12 +148,12 @@
 // isUnresponsive reports whether an engine has given no sign of life since an
 // attempt started, and this gateway was there to see one.
 func (g *Gateway) isUnresponsive(a *attempt) bool {
-	return !g.wasPaused() && a.engine.health.lastResponseAtMS < a.startedAtMS
+	return !g.wasPaused() && a.engine.health.lastActivityAtMS < a.startedAtMS
 }
 
 // dashboardTimeoutMS is how long a dashboard may be in flight undoubted. It grows
 // when all engines are slow, as retries would amplify the load then.
 func (g *Gateway) dashboardTimeoutMS(r *request) float64 {
-	return max(timeoutFraction*r.class.LatencyObjectiveMS+timeoutWorkMultiple*g.workMS(r),
-		lateMultiple*g.estimates.dashboardLatencyMS.value)
+	return max(timeoutObjectiveFraction*r.class.LatencyObjectiveMS+timeoutWorkMultiple*g.workMS(r),
+		timeoutLatencyMultiple*g.estimates.dashboardLatencyMS.value)
 }
--- a/control/loadreport.go
+++ b/control/loadreport.go
@@ -62,7 +62,7 @@
 		candidates[i], candidates[j] = candidates[j], candidates[i]
 	})
 	for _, e := range candidates[:min(enginesPerProbe, len(candidates))] {
-		g.act(Action{Kind: ProbeEngine, Engine: e.ID})
+		g.emit(Action{Kind: ProbeEngine, Engine: e.ID})
 		g.nextProbeAtMS = g.nowMS + probeIntervalMS
 	}
 }
--- a/control/supervision.go
+++ b/control/supervision.go
@@ -118,7 +118,7 @@
 		return false
 	}
 	health := &a.engine.health
-	unheard := health.lastResponseAtMS < a.startedAtMS
+	unheard := health.lastActivityAtMS < a.startedAtMS
 	if unheard && g.isEjected(a.engine) && a.startedAtMS < health.ejectedUntilMS {
 		return true
 	}
--- a/internal/demand/compat_test.go
+++ b/internal/demand/compat_test.go
@@ -29,16 +29,16 @@
 		{Name: "longest", Value: state([]float64{1, 2, 3}, many...)},
 	}
 	encode := func(state peerState) []byte {
-		ledger := New(8, 2, true)
-		ledger.Start(0, 0)
-		ledger.ownDemand = slices.Clone(state.demand)
-		return ledger.Encode(compatNowMS, slices.Values(state.loads))
+		tracker := New(8, 2, true)
+		tracker.Start(0, 0)
+		tracker.ownDemand = slices.Clone(state.demand)
+		return tracker.Encode(compatNowMS, slices.Values(state.loads))
 	}
 	decode := func(message []byte) (peerState, error) {
-		ledger := New(8, 2, true)
-		ledger.Start(0, 0)
-		ledger.Receive(compatNowMS, 1, message)
-		return ledger.peers[1], nil
+		tracker := New(8, 2, true)
+		tracker.Start(0, 0)
+		tracker.Receive(compatNowMS, 1, message)
+		return tracker.peers[1], nil
 	}
 	goldentest.Check(t, "messages.txt", cases, encode, decode)
 }
@@ -49,16 +49,16 @@
 	golden := goldentest.Read(t, "order.txt")
 	for name, gatewayCount := range map[string]int{"small-fleet": 8, "large-fleet": 9} {
 		t.Run(name, func(t *testing.T) {
-			ledger := New(gatewayCount, 2, true)
-			ledger.Start(0, 0)
-			ledger.RecordDemand(40, 1)
-			ledger.RecordDemand(2.5, 0)
-			ledger.RecordDemand(0, 1)
+			tracker := New(gatewayCount, 2, true)
+			tracker.Start(0, 0)
+			tracker.RecordDemand(40, 1)
+			tracker.RecordDemand(2.5, 0)
+			tracker.RecordDemand(0, 1)
 			loads := make([]Load, 100)
 			for i := range loads {
 				loads[i] = Load{Engine: 1, Dataset: uint32(i)}
 			}
-			got := ledger.Encode(5000, slices.Values(loads))
+			got := tracker.Encode(5000, slices.Values(loads))
 			if !bytes.Equal(got, golden[name]) || len(got) > 256 {
 				t.Errorf("encoded %x, golden %x", got, golden[name])
 			}
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -35,9 +35,9 @@
 	firstTenantIndex = 1 // requests of tenant 0; those of the others follow
 )
 
-// Ledger holds what one gateway was asked for and what its peers have broadcast.
+// Tracker holds what one gateway was asked for and what its peers have broadcast.
 // It is not safe for concurrent use.
-type Ledger struct {
+type Tracker struct {
 	gatewayCount int // gateways of the configuration
 	aliveCount   int // those of them that count now
 	startedAtMS  float64
@@ -53,9 +53,9 @@
 
 // New returns the ledger of one of gatewayCount gateways that serve tenantCount
 // tenants. If it cannot broadcast, no broadcast is ever due.
-func New(gatewayCount, tenantCount int, canBroadcast bool) *Ledger {
+func New(gatewayCount, tenantCount int, canBroadcast bool) *Tracker {
 	gatewayCount = max(1, gatewayCount)
-	return &Ledger{
+	return &Tracker{
 		gatewayCount: gatewayCount,
 		aliveCount:   gatewayCount,
 		ownDemand:    make([]float64, firstTenantIndex+tenantCount),
@@ -68,66 +68,66 @@
 // Start sets the time of this gateway's start. The first broadcast is due after
 // phase, from 0 to 1, of the broadcast interval, so that gateways started at once
 // do not broadcast at once.
-func (l *Ledger) Start(nowMS, phase float64) {
-	l.startedAtMS = nowMS
-	l.nextBroadcastAtMS = nowMS + l.broadcastIntervalMS()*phase
+func (t *Tracker) Start(nowMS, phase float64) {
+	t.startedAtMS = nowMS
+	t.nextBroadcastAtMS = nowMS + t.broadcastIntervalMS()*phase
 }
 
 // SetAliveGateways sets how many gateways are alive by the settled view of the
 // fleet. Before the first call, all gateways of the configuration count.
-func (l *Ledger) SetAliveGateways(alive int) { l.aliveCount = min(max(1, alive), l.gatewayCount) }
+func (t *Tracker) SetAliveGateways(alive int) { t.aliveCount = min(max(1, alive), t.gatewayCount) }
 
 // AliveGateways returns how many gateways count, at least 1.
-func (l *Ledger) AliveGateways() float64 { return float64(l.aliveCount) }
+func (t *Tracker) AliveGateways() float64 { return float64(t.aliveCount) }
 
 // RecordDemand adds work that this gateway was asked for, and a request of a
 // tenant. A tenant out of range, such as -1, adds no request.
-func (l *Ledger) RecordDemand(workMS float64, tenant int) {
-	l.ownDemand[workIndex] += workMS
-	if i := firstTenantIndex + tenant; tenant >= 0 && i < len(l.ownDemand) {
-		l.ownDemand[i]++
+func (t *Tracker) RecordDemand(workMS float64, tenant int) {
+	t.ownDemand[workIndex] += workMS
+	if i := firstTenantIndex + tenant; tenant >= 0 && i < len(t.ownDemand) {
+		t.ownDemand[i]++
 	}
 }
 
 // Decay ages this gateway's sums by a span of time.
-func (l *Ledger) Decay(elapsedMS float64) {
-	for i := range l.ownDemand {
-		l.ownDemand[i] *= math.Exp2(-elapsedMS / demandHalfLifeMS)
+func (t *Tracker) Decay(elapsedMS float64) {
+	for i := range t.ownDemand {
+		t.ownDemand[i] *= math.Exp2(-elapsedMS / demandHalfLifeMS)
 	}
 }
 
 // steadyDemand returns an entry of this gateway's demand as it would be if the
 // gateway had been up for long: a decaying sum grows from nothing after a start.
 // Without this, a gateway that has restarted would get less than its quota.
-func (l *Ledger) steadyDemand(nowMS float64, index int) float64 {
-	return l.ownDemand[index] / (1 - math.Exp2(-max(nowMS-l.startedAtMS, WarmUpMS)/demandHalfLifeMS))
+func (t *Tracker) steadyDemand(nowMS float64, index int) float64 {
+	return t.ownDemand[index] / (1 - math.Exp2(-max(nowMS-t.startedAtMS, WarmUpMS)/demandHalfLifeMS))
 }
 
 // fleetDemand returns an entry of the demand of all gateways. Gateways of which
 // nothing was received yet count like the others.
-func (l *Ledger) fleetDemand(nowMS float64, index int) float64 {
-	if len(l.peers) == 0 {
-		return l.steadyDemand(nowMS, index) * float64(l.aliveCount)
+func (t *Tracker) fleetDemand(nowMS float64, index int) float64 {
+	if len(t.peers) == 0 {
+		return t.steadyDemand(nowMS, index) * float64(t.aliveCount)
 	}
-	known := l.steadyDemand(nowMS, index) + l.peerDemand[index]
-	if nowMS < l.startedAtMS+l.broadcastIntervalMS() { // not every peer has had to broadcast yet
-		known *= float64(l.aliveCount) / float64(min(l.aliveCount, 1+len(l.peers)))
+	known := t.steadyDemand(nowMS, index) + t.peerDemand[index]
+	if nowMS < t.startedAtMS+t.broadcastIntervalMS() { // not every peer has had to broadcast yet
+		known *= float64(t.aliveCount) / float64(min(t.aliveCount, 1+len(t.peers)))
 	}
 	return known
 }
 
 // QuotasAreEven reports whether nothing is known yet by which quotas would differ.
-func (l *Ledger) QuotasAreEven(nowMS float64) bool {
-	return len(l.peers) == 0 || l.ownDemand[workIndex] == 0 || nowMS < l.startedAtMS+WarmUpMS
+func (t *Tracker) QuotasAreEven(nowMS float64) bool {
+	return len(t.peers) == 0 || t.ownDemand[workIndex] == 0 || nowMS < t.startedAtMS+WarmUpMS
 }
 
 // Quota scales an even quota of something to this gateway's part of the fleet's
 // secondary work.
-func (l *Ledger) Quota(nowMS, evenQuota float64) float64 {
-	return evenQuota * float64(l.aliveCount) * l.steadyDemand(nowMS, workIndex) / l.fleetDemand(nowMS, workIndex)
+func (t *Tracker) Quota(nowMS, evenQuota float64) float64 {
+	return evenQuota * float64(t.aliveCount) * t.steadyDemand(nowMS, workIndex) / t.fleetDemand(nowMS, workIndex)
 }
 
 // RequestsPerSecond returns the rate of a tenant's requests at all gateways together.
-func (l *Ledger) RequestsPerSecond(nowMS float64, tenant int) float64 {
-	return l.fleetDemand(nowMS, firstTenantIndex+tenant) * math.Ln2 / demandHalfLifeMS * msPerSecond
+func (t *Tracker) RequestsPerSecond(nowMS float64, tenant int) float64 {
+	return t.fleetDemand(nowMS, firstTenantIndex+tenant) * math.Ln2 / demandHalfLifeMS * msPerSecond
 }
--- a/internal/demand/gossip.go
+++ b/internal/demand/gossip.go
@@ -35,33 +35,33 @@
 // broadcastIntervalMS is the time between a gateway's broadcasts. It follows the
 // configuration and not the view of the fleet: a gateway that is cut off must not
 // send more often to those it does not reach.
-func (l *Ledger) broadcastIntervalMS() float64 {
-	return max(minBroadcastIntervalMS, broadcastIntervalPerGatewayMS*float64(l.gatewayCount))
+func (t *Tracker) broadcastIntervalMS() float64 {
+	return max(minBroadcastIntervalMS, broadcastIntervalPerGatewayMS*float64(t.gatewayCount))
 }
 
 // expiryMS is the age at which a peer's state no longer counts.
-func (l *Ledger) expiryMS() float64 { return maxMissedBroadcasts * l.broadcastIntervalMS() }
+func (t *Tracker) expiryMS() float64 { return maxMissedBroadcasts * t.broadcastIntervalMS() }
 
 // LoadsChanged records that a load started or ended.
-func (l *Ledger) LoadsChanged() { l.loadsChanged = true }
+func (t *Tracker) LoadsChanged() { t.loadsChanged = true }
 
 // BroadcastDue reports whether peers must be sent the message that Encode returns:
 // at a sweep, when the broadcast interval has passed, and in a small fleet at any
 // time when a load has changed. If so, it takes the broadcast as sent, and at the
 // interval drops the state of peers that have missed theirs.
-func (l *Ledger) BroadcastDue(nowMS float64, sweep bool) bool {
-	if !l.canBroadcast || l.gatewayCount < 2 {
+func (t *Tracker) BroadcastDue(nowMS float64, sweep bool) bool {
+	if !t.canBroadcast || t.gatewayCount < 2 {
 		return false
 	}
-	intervalPassed := sweep && nowMS >= l.nextBroadcastAtMS
-	urgent := l.loadsChanged && l.gatewayCount <= MaxLoadGossipFleet
+	intervalPassed := sweep && nowMS >= t.nextBroadcastAtMS
+	urgent := t.loadsChanged && t.gatewayCount <= MaxLoadGossipFleet
 	if !intervalPassed && !urgent {
 		return false
 	}
-	l.loadsChanged = false
+	t.loadsChanged = false
 	if intervalPassed {
-		l.nextBroadcastAtMS = nowMS + l.broadcastIntervalMS()
-		l.expirePeers(nowMS - l.expiryMS())
+		t.nextBroadcastAtMS = nowMS + t.broadcastIntervalMS()
+		t.expirePeers(nowMS - t.expiryMS())
 	}
 	return true
 }
@@ -69,12 +69,12 @@
 // Encode returns the message for peers: all state each time, as any message may be
 // lost. It has at most MaxMessageBytes; loads that do not fit are left out, and in
 // a fleet larger than MaxLoadGossipFleet all loads are.
-func (l *Ledger) Encode(nowMS float64, loads iter.Seq[Load]) []byte {
+func (t *Tracker) Encode(nowMS float64, loads iter.Seq[Load]) []byte {
 	var message []byte
-	for i := range l.ownDemand {
-		message = appendDemand(message, l.steadyDemand(nowMS, i))
+	for i := range t.ownDemand {
+		message = appendDemand(message, t.steadyDemand(nowMS, i))
 	}
-	if l.gatewayCount > MaxLoadGossipFleet {
+	if t.gatewayCount > MaxLoadGossipFleet {
 		return message
 	}
 	for load := range loads {
@@ -88,51 +88,51 @@
 
 // Receive takes a message of a peer, which replaces its earlier ones. A malformed
 // message, or one of a peer that is not of this fleet, is dropped.
-func (l *Ledger) Receive(nowMS float64, peer int, message []byte) {
-	if peer < 0 || peer >= l.gatewayCount { // expirePeers goes through no others
+func (t *Tracker) Receive(nowMS float64, peer int, message []byte) {
+	if peer < 0 || peer >= t.gatewayCount { // expirePeers goes through no others
 		return
 	}
-	state, err := decodeMessage(message, len(l.ownDemand))
+	state, err := decodeMessage(message, len(t.ownDemand))
 	if err != nil {
 		return
 	}
 	state.receivedAtMS = nowMS
-	previous := l.peers[peer].demand
-	l.peers[peer] = state
+	previous := t.peers[peer].demand
+	t.peers[peer] = state
 	for i, value := range state.demand {
-		l.peerDemand[i] += value
+		t.peerDemand[i] += value
 		if previous != nil {
-			l.peerDemand[i] -= previous[i]
+			t.peerDemand[i] -= previous[i]
 		}
 	}
 }
 
 // expirePeers drops state received before a time, and sums the rest anew.
-func (l *Ledger) expirePeers(receivedBeforeMS float64) {
-	clear(l.peerDemand)
-	for peer := range l.gatewayCount { // in order: a sum of floats depends on it
-		state, ok := l.peers[peer]
+func (t *Tracker) expirePeers(receivedBeforeMS float64) {
+	clear(t.peerDemand)
+	for peer := range t.gatewayCount { // in order: a sum of floats depends on it
+		state, ok := t.peers[peer]
 		if !ok {
 			continue
 		}
 		if state.receivedAtMS < receivedBeforeMS {
-			delete(l.peers, peer)
+			delete(t.peers, peer)
 			continue
 		}
 		for i, value := range state.demand {
-			l.peerDemand[i] += value
+			t.peerDemand[i] += value
 		}
 	}
 }
 
 // RunsAtPeer reports whether a peer has the load in flight, by its last message.
 // In a fleet larger than MaxLoadGossipFleet it reports false.
-func (l *Ledger) RunsAtPeer(nowMS float64, load Load) bool {
-	if l.gatewayCount > MaxLoadGossipFleet {
+func (t *Tracker) RunsAtPeer(nowMS float64, load Load) bool {
+	if t.gatewayCount > MaxLoadGossipFleet {
 		return false
 	}
-	for _, state := range l.peers {
-		if nowMS < state.receivedAtMS+l.expiryMS() && slices.Contains(state.loads, load) {
+	for _, state := range t.peers {
+		if nowMS < state.receivedAtMS+t.expiryMS() && slices.Contains(state.loads, load) {
 			return true
 		}
 	}
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -11,7 +11,7 @@
 //     window, for small requests. The rest is granted in rotation: time is cut into
 //     slots of half a window, and in each slot a few gateways hold a third of the
 //     budget. A window overlaps at most three slots, so slots sum to one budget.
-//     All quotas sum to at most windowBudgets budgets, which safetyFactor allows for.
+//     All quotas sum to at most maxBudgetsPerWindow budgets, which budgetFraction allows for.
 //
 // The rotation, the quotas and the choice between the two rules follow only from
 // the engine's id and start time, the settings and the configured number of
@@ -26,15 +26,15 @@
 package slowstart
 
 const (
-	// windowBudgets is the sum of all quotas in a window, in budgets, while slots rotate.
-	windowBudgets = 1 + evenQuotaBudgets
+	// maxBudgetsPerWindow is the sum of all quotas in a window, in budgets, while slots rotate.
+	maxBudgetsPerWindow = 1 + evenQuotaFraction
 
-	// evenQuotaBudgets is the part of the budget that is divided evenly while slots rotate.
-	evenQuotaBudgets = 0.25
+	// evenQuotaFraction is the part of the budget that is divided evenly while slots rotate.
+	evenQuotaFraction = 0.25
 
-	// safetyFactor is the part of an engine's overload threshold that is its budget:
+	// budgetFraction is the part of an engine's overload threshold that is its budget:
 	// work estimates scatter, and a core does less than its nominal work.
-	safetyFactor = 0.68
+	budgetFraction = 0.68
 
 	// minEvenQuotaRequests is how many large requests an even quota must hold for slots to end.
 	minEvenQuotaRequests = 1.25
@@ -78,36 +78,36 @@
 // gateway started, negative if the gateway was up before. sentSince returns the
 // work that this gateway has sent to the engine from an age on.
 func (e *Engine) Admits(ageMS, workMS, gatewayStartAgeMS float64, sentSince func(ageMS float64) float64) bool {
-	if e.GatewayIndex < 0 || e.mayHaveForgottenSends(ageMS, gatewayStartAgeMS) {
+	if e.GatewayIndex < 0 || e.mayHaveUnrecordedSends(ageMS, gatewayStartAgeMS) {
 		return false
 	}
 	windowStartMS := ageMS - e.OverloadWindowMS
 	workInWindowMS := workMS + sentSince(windowStartMS)
 	gatewayCount := float64(max(1, e.GatewayCount))
 	if e.hasEvenQuotas(ageMS) && e.hasEvenQuotas(windowStartMS) {
-		return workInWindowMS <= windowBudgets*e.budgetMS(ageMS)/gatewayCount
+		return workInWindowMS <= maxBudgetsPerWindow*e.budgetMS(ageMS)/gatewayCount
 	}
 	slot := e.slotAt(ageMS)
 	if slot.holder && !e.hasEvenQuotas(ageMS) && workMS+sentSince(slot.startMS) <= slot.quotaMS {
 		return true
 	}
-	return workInWindowMS <= evenQuotaBudgets*e.budgetMS(ageMS)/gatewayCount
+	return workInWindowMS <= evenQuotaFraction*e.budgetMS(ageMS)/gatewayCount
 }
 
-// mayHaveForgottenSends reports whether this gateway started so recently that it
+// mayHaveUnrecordedSends reports whether this gateway started so recently that it
 // may have sent work within the window that it does not remember.
-func (e *Engine) mayHaveForgottenSends(ageMS, gatewayStartAgeMS float64) bool {
+func (e *Engine) mayHaveUnrecordedSends(ageMS, gatewayStartAgeMS float64) bool {
 	return gatewayStartAgeMS >= 0 && ageMS < gatewayStartAgeMS+e.OverloadWindowMS
 }
 
 // budgetMS returns the work that all gateways together may send in a window that
 // ends at an age. It never decreases with age.
 func (e *Engine) budgetMS(ageMS float64) float64 {
-	return safetyFactor * e.OverloadMultiple * e.Cores * e.CapacityFraction(ageMS) * e.OverloadWindowMS
+	return budgetFraction * e.OverloadMultiple * e.Cores * e.CapacityFraction(ageMS) * e.OverloadWindowMS
 }
 
 // hasEvenQuotas reports whether, at an age, an even quota of the budget holds a
 // large request, so that no slots are needed.
 func (e *Engine) hasEvenQuotas(ageMS float64) bool {
-	return windowBudgets*e.budgetMS(ageMS)/float64(max(1, e.GatewayCount)) >= minEvenQuotaRequests*e.LargestWorkMS
+	return maxBudgetsPerWindow*e.budgetMS(ageMS)/float64(max(1, e.GatewayCount)) >= minEvenQuotaRequests*e.LargestWorkMS
 }
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -85,7 +85,7 @@
 				}
 			}
 			sumMS := sentAfter(sends, ageMS-engine.OverloadWindowMS)
-			if maxMS := windowBudgets * engine.budgetMS(ageMS); sumMS > maxMS*1.000001 {
+			if maxMS := maxBudgetsPerWindow * engine.budgetMS(ageMS); sumMS > maxMS*1.000001 {
 				t.Fatalf("%v ms of work in the window up to age %v, at most %v allowed", sumMS, ageMS, maxMS)
 			}
 		}
@@ -105,13 +105,13 @@
 	t.Helper()
 	const (
 		slotsEndMS = 5000.0
-		pieceMS    = 40.0
+		requestMS  = 40.0
 	)
 	engine := Engine{
 		ID: "e", Cores: 16, InitialFraction: 0.35, WindowMS: 12000,
 		OverloadMultiple: 4, OverloadWindowMS: 1500, GatewayCount: gatewayCount,
 	}
-	engine.LargestWorkMS = windowBudgets * engine.budgetMS(slotsEndMS) / float64(gatewayCount) / minEvenQuotaRequests
+	engine.LargestWorkMS = maxBudgetsPerWindow * engine.budgetMS(slotsEndMS) / float64(gatewayCount) / minEvenQuotaRequests
 	remembered := make([][]sentWork, gatewayCount)
 	fullWindows := 0
 	for ageMS := 0.0; ageMS < 9000; ageMS += 50 {
@@ -120,12 +120,12 @@
 			view := engine
 			view.GatewayIndex = i
 			sentBy := func(since float64) float64 { return sentSince(remembered[i], since) }
-			for view.Admits(ageMS, pieceMS, -1, sentBy) {
-				remembered[i] = append(remembered[i], sentWork{ageMS, pieceMS})
+			for view.Admits(ageMS, requestMS, -1, sentBy) {
+				remembered[i] = append(remembered[i], sentWork{ageMS, requestMS})
 			}
 			sumMS += sentSince(remembered[i], ageMS-engine.OverloadWindowMS+1)
 		}
-		maxMS := windowBudgets * engine.budgetMS(ageMS)
+		maxMS := maxBudgetsPerWindow * engine.budgetMS(ageMS)
 		if sumMS > maxMS {
 			t.Fatalf("%d gateways: %v ms of work in the window up to age %v, at most %v allowed",
 				gatewayCount, sumMS, ageMS, maxMS)
--- a/internal/subset/selector.go
+++ b/internal/subset/selector.go
@@ -14,18 +14,18 @@
 	gatewayCount int
 	byID         map[string]*candidate
 	candidates   []*candidate
-	round        int       // counts calls of update
+	generation   int       // counts calls of update
 	rankings     []ranking // by gateway
 	unmatched    []int     // gateways whose subset is not full, in match
 }
 
 // candidate is a usable engine.
 type candidate struct {
-	id       string
-	hash     uint64
-	round    int        // the last round whose list had it
-	capacity int        // gateways that it may have
-	accepted []proposal // those that it has, by falling weight
+	id         string
+	hash       uint64
+	generation int        // the last generation whose list had it
+	capacity   int        // gateways that it may have
+	accepted   []proposal // those that it has, by falling weight
 }
 
 // proposal is a gateway that wants an engine, with the weight of the pair.
@@ -38,7 +38,7 @@
 // is not under the floor.
 type ranking struct {
 	preferences []preference
-	floor       uint64
+	minWeight   uint64
 	next        int // index of the preference that the gateway proposes to next, in match
 	matched     int // engines that have accepted the gateway, in match
 }
@@ -49,8 +49,8 @@
 }
 
 const (
-	initialDepth = 24 // mean number of preferences that a ranking begins with
-	depthGrowth  = 4  // factor by which a ranking that does not suffice is deepened
+	initialRankingLength = 24 // mean number of preferences that a ranking begins with
+	rankingGrowth        = 4  // factor by which a ranking that does not suffice is deepened
 )
 
 // Select returns the same as Plan.Select. The plan may differ from that of the call
@@ -108,9 +108,9 @@
 // update brings candidates and rankings up to a list of usable engines.
 func (s *Selector) update(gatewayCount int, usable []Engine) {
 	if s.gatewayCount != gatewayCount {
-		*s = Selector{gatewayCount: gatewayCount, byID: map[string]*candidate{}, round: s.round}
+		*s = Selector{gatewayCount: gatewayCount, byID: map[string]*candidate{}, generation: s.generation}
 	}
-	s.round++
+	s.generation++
 	added := s.addCandidates(usable)
 	removed := s.removeCandidates()
 	s.candidates = append(s.candidates, added...)
@@ -123,7 +123,7 @@
 	}
 }
 
-// addCandidates marks the candidates of a list as of this round, makes those that are
+// addCandidates marks the candidates of a list as of this generation, makes those that are
 // new, and returns the latter.
 func (s *Selector) addCandidates(usable []Engine) []*candidate {
 	var added []*candidate
@@ -134,13 +134,13 @@
 			s.byID[engine.ID] = c
 			added = append(added, c)
 		}
-		c.round = s.round
+		c.generation = s.generation
 		c.accepted = c.accepted[:0]
 	}
 	return added
 }
 
-// removeCandidates removes the candidates that are not of this round, and returns
+// removeCandidates removes the candidates that are not of this generation, and returns
 // how many there were.
 func (s *Selector) removeCandidates() int {
 	before := len(s.candidates)
@@ -156,29 +156,29 @@
 	return removed
 }
 
-func (s *Selector) isStale(c *candidate) bool { return c.round != s.round }
+func (s *Selector) isStale(c *candidate) bool { return c.generation != s.generation }
 
 // rankAll ranks all candidates for all gateways anew.
 func (s *Selector) rankAll() {
 	s.rankings = make([]ranking, s.gatewayCount)
-	floor := uint64(0)
-	if count := uint64(len(s.candidates)); count > initialDepth {
-		floor = math.MaxUint64 - math.MaxUint64/count*initialDepth
+	minWeight := uint64(0)
+	if count := uint64(len(s.candidates)); count > initialRankingLength {
+		minWeight = math.MaxUint64 - math.MaxUint64/count*initialRankingLength
 	}
 	// Candidates outermost: the inner loop, which runs for every pair of a gateway and
 	// an engine, then reads memory only for the pairs that are ranked.
 	for _, c := range s.candidates {
 		hash := c.hash
 		for gateway := range s.gatewayCount {
-			if weight := pairWeight(hash, gateway); weight >= floor {
+			if weight := pairWeight(hash, gateway); weight >= minWeight {
 				r := &s.rankings[gateway]
 				r.preferences = append(r.preferences, preference{weight, c})
 			}
 		}
 	}
 	for gateway := range s.rankings {
-		s.rankings[gateway].floor = floor
-		slices.SortFunc(s.rankings[gateway].preferences, byFallingWeight)
+		s.rankings[gateway].minWeight = minWeight
+		slices.SortFunc(s.rankings[gateway].preferences, byDescendingWeight)
 	}
 }
 
@@ -192,11 +192,11 @@
 			r.preferences = append(r.preferences, preference{weight, c})
 		}
 	}
-	slices.SortFunc(r.preferences[first:], byFallingWeight)
+	slices.SortFunc(r.preferences[first:], byDescendingWeight)
 }
 
-// byFallingWeight orders preferences; candidates of one weight, by id.
-func byFallingWeight(a, b preference) int {
+// byDescendingWeight orders preferences; candidates of one weight, by id.
+func byDescendingWeight(a, b preference) int {
 	if a.weight != b.weight {
 		return cmp.Compare(b.weight, a.weight)
 	}
@@ -212,10 +212,10 @@
 	}
 	for _, c := range added {
 		p := preference{c.weight(gateway), c}
-		if p.weight < r.floor {
+		if p.weight < r.minWeight {
 			continue
 		}
-		index, _ := slices.BinarySearchFunc(r.preferences, p, byFallingWeight)
+		index, _ := slices.BinarySearchFunc(r.preferences, p, byDescendingWeight)
 		r.preferences = slices.Insert(r.preferences, index, p)
 	}
 }
@@ -230,7 +230,7 @@
 	for gateway := range s.rankings {
 		s.rankings[gateway].next = 0
 		s.rankings[gateway].matched = 0
-		if plan.takesPart(gateway) {
+		if plan.participates(gateway) {
 			s.unmatched = append(s.unmatched, gateway)
 		}
 	}
@@ -238,26 +238,26 @@
 		last := len(s.unmatched) - 1
 		gateway := s.unmatched[last]
 		s.unmatched = s.unmatched[:last]
-		s.fill(gateway, size)
+		s.fillSubset(gateway, size)
 	}
 }
 
-// fill has a gateway propose until its subset has the size or it has no preference
+// fillSubset has a gateway propose until its subset has the size or it has no preference
 // left. Gateways that lose an engine by it become unmatched.
-func (s *Selector) fill(gateway, size int) {
+func (s *Selector) fillSubset(gateway, size int) {
 	for s.rankings[gateway].matched < size {
 		p, ok := s.nextPreference(gateway)
 		if !ok {
 			return
 		}
-		loser := p.candidate.consider(proposal{p.weight, gateway})
-		if loser == gateway {
+		rejected := p.candidate.propose(proposal{p.weight, gateway})
+		if rejected == gateway {
 			continue
 		}
 		s.rankings[gateway].matched++
-		if loser != noLoser {
-			s.rankings[loser].matched--
-			s.unmatched = append(s.unmatched, loser)
+		if rejected != noneRejected {
+			s.rankings[rejected].matched--
+			s.unmatched = append(s.unmatched, rejected)
 		}
 	}
 }
@@ -267,35 +267,35 @@
 func (s *Selector) nextPreference(gateway int) (preference, bool) {
 	r := &s.rankings[gateway]
 	for r.next == len(r.preferences) {
-		if r.floor == 0 {
+		if r.minWeight == 0 {
 			return preference{}, false
 		}
-		s.deepen(gateway)
+		s.extendRanking(gateway)
 	}
 	r.next++
 	return r.preferences[r.next-1], true
 }
 
-// deepen lowers the floor of a gateway's ranking, which is above 0. The preferences
+// extendRanking lowers the floor of a gateway's ranking, which is above 0. The preferences
 // above the floor keep their indices.
-func (s *Selector) deepen(gateway int) {
+func (s *Selector) extendRanking(gateway int) {
 	r := &s.rankings[gateway]
-	highest := r.floor - 1
-	depth := math.MaxUint64 - r.floor
-	r.floor = 0
-	if depth < math.MaxUint64/depthGrowth {
-		r.floor = math.MaxUint64 - depth*depthGrowth
+	highest := r.minWeight - 1
+	span := math.MaxUint64 - r.minWeight
+	r.minWeight = 0
+	if span < math.MaxUint64/rankingGrowth {
+		r.minWeight = math.MaxUint64 - span*rankingGrowth
 	}
-	s.appendPreferences(gateway, r.floor, highest)
+	s.appendPreferences(gateway, r.minWeight, highest)
 }
 
-// noLoser says that an engine accepted a proposal and dropped none.
-const noLoser = -1
+// noneRejected says that an engine accepted a proposal and dropped none.
+const noneRejected = -1
 
-// consider accepts a proposal if the engine is not full or has one of less weight,
+// propose accepts a proposal if the engine is not full or has one of less weight,
 // which it drops. It returns the gateway that goes without: the one that proposed, the
-// one that was dropped, or noLoser.
-func (c *candidate) consider(p proposal) (loser int) {
+// one that was dropped, or noneRejected.
+func (c *candidate) propose(p proposal) (rejected int) {
 	index, _ := slices.BinarySearchFunc(c.accepted, p, func(a, b proposal) int {
 		return cmp.Compare(b.weight, a.weight)
 	})
@@ -304,10 +304,10 @@
 	}
 	c.accepted = slices.Insert(c.accepted, index, p)
 	if len(c.accepted) <= c.capacity {
-		return noLoser
+		return noneRejected
 	}
 	last := len(c.accepted) - 1
-	loser = c.accepted[last].gateway
+	rejected = c.accepted[last].gateway
 	c.accepted = c.accepted[:last]
-	return loser
+	return rejected
 }
--- a/internal/subset/selector_test.go
+++ b/internal/subset/selector_test.go
@@ -64,7 +64,7 @@
 	var pairs []weightedPair
 	for i, engine := range usable {
 		for gateway := range plan.GatewayCount {
-			if plan.takesPart(gateway) {
+			if plan.participates(gateway) {
 				weight := mix(hashOf(engine.ID) + uint64(gateway)*splitMixGamma)
 				pairs = append(pairs, weightedPair{weight, i, gateway})
 			}
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -72,15 +72,15 @@
 // A Selector gives the same at a fraction of the cost where the list changes often.
 func (p Plan) Select(list []Engine) []Member { return new(Selector).Select(p, list) }
 
-// takesPart reports whether a gateway takes part. This one always does.
-func (p Plan) takesPart(gateway int) bool {
+// participates reports whether a gateway takes part. This one always does.
+func (p Plan) participates(gateway int) bool {
 	return p.Alive == nil || gateway == p.GatewayIndex || p.Alive[gateway]
 }
 
 // participants returns how many gateways take part, and this one's index among them.
 func (p Plan) participants() (count, index int) {
 	for gateway := range p.GatewayCount {
-		if !p.takesPart(gateway) {
+		if !p.participates(gateway) {
 			continue
 		}
 		count++
