--- a/control/permissions_test.go
+++ b/control/permissions_test.go
@@ -54,7 +54,7 @@
 // itself is true. (TestRunawayAttemptIsRetried has the same of a note.)
 func TestReportsThatComeAreUsed(t *testing.T) {
 	s := oneGateway()
-	if s.LoadReportsInAnswers || s.LoadReportsInProbes {
+	if s.LoadReportsInReplies || s.LoadReportsInProbes {
 		t.Fatal("the settings have load reports")
 	}
 	tr := newScenario(t, s, engines("a")...)
--- a/control/rulechecker_test.go
+++ b/control/rulechecker_test.go
@@ -113,7 +113,7 @@
 		}
 	}
 	for _, r := range c.order {
-		if r.closedAtMS == 0 && nowMS > r.deadlineAtMS+c.settings.AnswerGraceMS {
+		if r.closedAtMS == 0 && nowMS > r.deadlineAtMS+c.settings.ResponseGraceMS {
 			c.t.Fatalf("rule 1: %s has no answer at %.0f, %.0f ms after its deadline", r.id, nowMS,
 				nowMS-r.deadlineAtMS)
 		}
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -29,7 +29,7 @@
 	hedging.Tenants = []Tenant{{10}, {20}}
 
 	bare := Settings{
-		GatewayCount: 1, TickMS: 10, AnswerGraceMS: 20, DrainGraceMS: 100, PollsEndpointList: true,
+		GatewayCount: 1, TickMS: 10, ResponseGraceMS: 20, DrainGraceMS: 100, PollsEndpointList: true,
 		EngineKinds: []EngineKind{{4, 0}, {4, 0}},
 		Classes: []Class{
 			{LatencyObjectiveMS: 300, PriorityWeight: 1, Threads: 1},
--- a/control/scenario_test.go
+++ b/control/scenario_test.go
@@ -19,7 +19,7 @@
 // restricted to one kind of engine, and an ordered load.
 func twoEngineKinds() Settings {
 	return Settings{
-		GatewayCount: 2, TickMS: 5, AnswerGraceMS: 20, DrainGraceMS: 500, MaxAttempts: 4, CanCancel: true,
+		GatewayCount: 2, TickMS: 5, ResponseGraceMS: 20, DrainGraceMS: 500, MaxAttempts: 4, CanCancel: true,
 		OverloadMultiple: 2, OverloadWindowMS: 1000, SlowStartInitialFraction: 0.4, SlowStartWindowMS: 10000, KeySettleMS: 400,
 		EngineKinds: []EngineKind{{8, 8000}, {16, 16000}},
 		Classes: []Class{
--- a/control/settings.go
+++ b/control/settings.go
@@ -65,7 +65,7 @@
 	EngineKinds  []EngineKind
 	Tenants      []Tenant
 
-	AnswerGraceMS            float64 // a final answer may come this late
+	ResponseGraceMS          float64 // a final answer may come this late
 	DrainGraceMS             float64 // no attempt starts on an engine later than this after it began to drain
 	OverloadMultiple         float64 // an engine that warms up fails above this times its capacity
 	OverloadWindowMS         float64 // for this long
@@ -93,6 +93,6 @@
 	EnginesReportCost    bool    // outcomes carry what an attempt used
 	ProgressIntervalMS   float64 // time between status reports of an attempt; 0: none come
 	OverQuotaWeight      float64 // fraction of its priority weight that a request over its tenant's quota has
-	LoadReportsInAnswers bool    // outcomes carry load reports
+	LoadReportsInReplies bool    // outcomes carry load reports
 	LoadReportsInProbes  bool    // results of probes do
 }
--- a/internal/server/compat_config_test.go
+++ b/internal/server/compat_config_test.go
@@ -153,7 +153,7 @@
 	expectEqual(t, "zone", taken.Classes[1].IdempotencyScope, control.SameZone)
 	expectEqual(t, "cell", taken.Classes[2].IdempotencyScope, control.SameCell)
 	expectEqual(t, "ask", taken.PollsEndpointList, true)
-	expectEqual(t, "answers", taken.LoadReportsInAnswers && taken.LoadReportsInProbes, true)
+	expectEqual(t, "answers", taken.LoadReportsInReplies && taken.LoadReportsInProbes, true)
 }
 
 // checkNoneZero reports fields of the golden configuration that were not read.
--- a/internal/server/settingscheck_test.go
+++ b/internal/server/settingscheck_test.go
@@ -124,7 +124,7 @@
 	expectEqual(t, "connection time-out", connectTimeout(&c.Settings), toDuration(250))
 	expectEqual(t, "probes, gossip, hedging", settings.CanProbe || settings.CanGossip || settings.CanHedge, false)
 	expectEqual(t, "priorities, grants, reports", settings.CanPrioritize || settings.CanGrantMemory ||
-		settings.LoadReportsInAnswers || settings.LoadReportsInProbes, false)
+		settings.LoadReportsInReplies || settings.LoadReportsInProbes, false)
 	expectEqual(t, "status reports", settings.ProgressIntervalMS, 0.0)
 	expectEqual(t, "the endpoint list is asked for", settings.PollsEndpointList, false)
 }
--- a/internal/simproto/compat_test.go
+++ b/internal/simproto/compat_test.go
@@ -250,9 +250,9 @@
 				IdempotencyScope: control.AllEngines, IdempotencyWindowMS: 112, Zones: []int{6},
 				EngineKinds: []int{7}, Threads: 407, BlockedByLoads: true}),
 		},
-		EngineKinds:   []control.EngineKind{{Cores: 401, MemoryMB: 403}, {Cores: 402, MemoryMB: 404}},
-		Tenants:       []control.Tenant{{RequestsPerSecond: 301}, {RequestsPerSecond: 302}},
-		AnswerGraceMS: 201, DrainGraceMS: 202, OverloadMultiple: 203, OverloadWindowMS: 204,
+		EngineKinds:     []control.EngineKind{{Cores: 401, MemoryMB: 403}, {Cores: 402, MemoryMB: 404}},
+		Tenants:         []control.Tenant{{RequestsPerSecond: 301}, {RequestsPerSecond: 302}},
+		ResponseGraceMS: 201, DrainGraceMS: 202, OverloadMultiple: 203, OverloadWindowMS: 204,
 		SlowStartInitialFraction: 0.205, SlowStartWindowMS: 206, EndpointListMaxAgeMS: 207,
 		KeySettleMS: 208, RetryBudgetBase: 209, RetryBudgetPerRequest: 0.21, RetryBudgetWindowMS: 211,
 		MaxAttempts: 506, MaxOpenRequests: 503,
@@ -260,7 +260,7 @@
 		SendsRetryAfter: true, MaxRetryAfterMS: 505,
 		CanPrioritize: true, CanGrantMemory: true, MaxMemoryGrant: 0.408, EnginesReportCost: true,
 		ProgressIntervalMS: 409, OverQuotaWeight: 0.602,
-		LoadReportsInAnswers: true, LoadReportsInProbes: true,
+		LoadReportsInReplies: true, LoadReportsInProbes: true,
 	}
 	var env bytes.Buffer
 	if err := json.Compact(&env, []byte(goldenText(t, "settings.json"))); err != nil {
@@ -275,7 +275,7 @@
 		s := Settings{}
 		s.Reporting.Via = via
 		got, err := s.Control()
-		if err != nil || got.LoadReportsInAnswers != want[0] || got.LoadReportsInProbes != want[1] {
+		if err != nil || got.LoadReportsInReplies != want[0] || got.LoadReportsInProbes != want[1] {
 			t.Errorf("reporting via %q: %+v, %v", via, got, err)
 		}
 	}
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -134,7 +134,7 @@
 		GatewayCount:             s.GatewayCount,
 		Zone:                     s.Zone,
 		TickMS:                   s.TickMS,
-		AnswerGraceMS:            s.Contract.AnswerGraceMS,
+		ResponseGraceMS:          s.Contract.AnswerGraceMS,
 		DrainGraceMS:             s.Contract.DrainGraceMS,
 		OverloadMultiple:         s.Contract.OverloadMultiple,
 		OverloadWindowMS:         s.Contract.OverloadWindowMS,
@@ -160,7 +160,7 @@
 		EnginesReportCost:        s.Domain.EnginesReportCost,
 		ProgressIntervalMS:       s.Domain.ProgressIntervalMS,
 		OverQuotaWeight:          s.OverQuotaWeight,
-		LoadReportsInAnswers:     s.Reporting.Via == reportsWithAnswers,
+		LoadReportsInReplies:     s.Reporting.Via == reportsWithAnswers,
 		LoadReportsInProbes:      s.Reporting.Via == reportsWithAnswers || s.Reporting.Via == reportsWithProbes,
 		EngineKinds:              s.controlEngineKinds(),
 	}
--- a/internal/simproto/settings_test.go
+++ b/internal/simproto/settings_test.go
@@ -29,7 +29,7 @@
 		s.Classes[2].Idempotency != control.NotIdempotent {
 		t.Errorf("classes %+v", s.Classes)
 	}
-	if s.EngineKinds[1].Cores != 8 || s.AnswerGraceMS != 3 || s.RetryBudgetBase != 2 || !s.CanCancel ||
+	if s.EngineKinds[1].Cores != 8 || s.ResponseGraceMS != 3 || s.RetryBudgetBase != 2 || !s.CanCancel ||
 		s.MaxAttempts != 4 || s.GatewayCount != 3 || !s.PollsEndpointList ||
 		s.Tenants[0].RequestsPerSecond != 9 || s.RetryBudgetWindowMS != 0 || s.CanProbe {
 		t.Errorf("settings %+v", s)
