--- a/internal/demand/compat_test.go
+++ b/internal/demand/compat_test.go
@@ -8,11 +8,12 @@
 	"dewhill/internal/goldentest"
 )
 
-// compatNowMS is so late that demand is sent as it was recorded.
+// compatNowMS is so long after the start that the steady-state correction of the recorded
+// demand has no effect.
 const compatNowMS = 1e9
 
-// TestCompatMessages: gateways of the version before receive these messages of
-// demand and loads. Such a message has no header: it is a complete datagram.
+// TestCompatMessages guards the encoding of messages, which gateways of the previous
+// version must be able to decode. A message has no header: it is a complete datagram.
 func TestCompatMessages(t *testing.T) {
 	var many []Load
 	for i := range 30 {
@@ -43,8 +44,9 @@
 	goldentest.Check(t, "messages.txt", cases, encode, decode)
 }
 
-// TestCompatOrder: the work comes first, then the requests of each tenant. A message
-// has at most 256 bytes, and in a fleet of more than 8 gateways holds no loads.
+// TestCompatOrder guards the order of the demand vector in a message: the work comes
+// first, then the requests of each tenant. A message has at most 256 bytes, and holds no
+// loads in a fleet of more than 8 gateways.
 func TestCompatOrder(t *testing.T) {
 	golden := goldentest.Read(t, "order.txt")
 	for name, gatewayCount := range map[string]int{"small-fleet": 8, "large-fleet": 9} {
@@ -60,7 +62,7 @@
 			}
 			got := tracker.Encode(5000, slices.Values(loads))
 			if !bytes.Equal(got, golden[name]) || len(got) > 256 {
-				t.Errorf("encoded %x, golden %x", got, golden[name])
+				t.Errorf("encoded %x, golden message %x; at most 256 bytes", got, golden[name])
 			}
 		})
 	}
--- a/internal/demand/gossip.go
+++ b/internal/demand/gossip.go
@@ -6,49 +6,51 @@
 )
 
 const (
-	// MaxLoadGossipFleet is the largest fleet whose gateways broadcast their loads,
-	// and each change of them at once.
+	// MaxLoadGossipFleet is the largest number of gateways of a fleet in which gateways
+	// broadcast their loads in flight, and broadcast each change of them at once.
 	MaxLoadGossipFleet = 8
 
 	// broadcastIntervalPerGatewayMS bounds the traffic: each gateway sends to all
-	// others, so the fleet's messages grow with the square of its size.
+	// others, so the number of messages grows with the square of the fleet's size.
 	broadcastIntervalPerGatewayMS = 100.0
 	minBroadcastIntervalMS        = 1000.0
 
-	// maxMissedBroadcasts is how many broadcasts a peer may miss before it no longer counts.
+	// maxMissedBroadcasts is the number of broadcasts that a peer may miss before its
+	// state expires.
 	maxMissedBroadcasts = 3.0
 )
 
-// Load names a load that is in flight.
+// Load identifies a load that is in flight.
 type Load struct {
-	Engine  uint32 // tag of its engine
+	Engine  uint32 // hash of the engine's ID
 	Dataset uint32
 }
 
-// peerState is what was last received of a peer.
+// peerState is the state that was last received from a peer.
 type peerState struct {
-	demand       []float64 // vector
+	demand       []float64 // demand vector
 	loads        []Load
 	receivedAtMS float64
 }
 
-// broadcastIntervalMS is the time between a gateway's broadcasts. It follows the
-// configuration and not the view of the fleet: a gateway that is cut off must not
-// send more often to those it does not reach.
+// broadcastIntervalMS returns the time between two broadcasts of a gateway. It depends
+// on the configured number of gateways and not on those alive: a gateway that is
+// partitioned from its peers must not send to them more often.
 func (t *Tracker) broadcastIntervalMS() float64 {
 	return max(minBroadcastIntervalMS, broadcastIntervalPerGatewayMS*float64(t.gatewayCount))
 }
 
-// expiryMS is the age at which a peer's state no longer counts.
+// expiryMS returns the age at which a peer's state expires.
 func (t *Tracker) expiryMS() float64 { return maxMissedBroadcasts * t.broadcastIntervalMS() }
 
-// LoadsChanged records that a load started or ended.
+// LoadsChanged records that a load of this gateway started or ended.
 func (t *Tracker) LoadsChanged() { t.loadsChanged = true }
 
-// BroadcastDue reports whether peers must be sent the message that Encode returns:
-// at a sweep, when the broadcast interval has passed, and in a small fleet at any
-// time when a load has changed. If so, it takes the broadcast as sent, and at the
-// interval drops the state of peers that have missed theirs.
+// BroadcastDue reports whether the message that Encode returns must be sent to the peers
+// now: at the first sweep after the broadcast interval has passed, and in a small fleet
+// also as soon as the loads have changed. If it returns true, the caller must send the
+// broadcast: the next one is scheduled. Once per interval, it also drops the state of
+// peers that has expired.
 func (t *Tracker) BroadcastDue(nowMS float64, sweep bool) bool {
 	if !t.canBroadcast || t.gatewayCount < 2 {
 		return false
@@ -66,9 +68,9 @@
 	return true
 }
 
-// Encode returns the message for peers: all state each time, as any message may be
-// lost. It has at most MaxMessageBytes; loads that do not fit are left out, and in
-// a fleet larger than MaxLoadGossipFleet all loads are.
+// Encode returns the message for the peers. Each message holds the complete state, as
+// any message may be lost. It has at most MaxMessageBytes; loads that do not fit are
+// omitted. In a fleet larger than MaxLoadGossipFleet it holds no loads.
 func (t *Tracker) Encode(nowMS float64, loads iter.Seq[Load]) []byte {
 	var message []byte
 	for i := range t.ownDemand {
@@ -86,10 +88,10 @@
 	return message
 }
 
-// Receive takes a message of a peer, which replaces its earlier ones. A malformed
-// message, or one of a peer that is not of this fleet, is dropped.
+// Receive stores the state of a peer from its message, in place of the earlier state. A
+// message that is malformed or whose peer index is out of range is dropped.
 func (t *Tracker) Receive(nowMS float64, peer int, message []byte) {
-	if peer < 0 || peer >= t.gatewayCount { // expirePeers goes through no others
+	if peer < 0 || peer >= t.gatewayCount { // expirePeers visits only these indices
 		return
 	}
 	state, err := decodeMessage(message, len(t.ownDemand))
@@ -107,10 +109,10 @@
 	}
 }
 
-// expirePeers drops state received before a time, and sums the rest anew.
+// expirePeers drops the state received before a time, and recomputes the sum of the rest.
 func (t *Tracker) expirePeers(receivedBeforeMS float64) {
 	clear(t.peerDemand)
-	for peer := range t.gatewayCount { // in order: a sum of floats depends on it
+	for peer := range t.gatewayCount { // in a fixed order, as a floating-point sum depends on the order
 		state, ok := t.peers[peer]
 		if !ok {
 			continue
@@ -125,8 +127,8 @@
 	}
 }
 
-// RunsAtPeer reports whether a peer has the load in flight, by its last message.
-// In a fleet larger than MaxLoadGossipFleet it reports false.
+// RunsAtPeer reports whether a peer has the load in flight, according to its last
+// message. In a fleet larger than MaxLoadGossipFleet it returns false.
 func (t *Tracker) RunsAtPeer(nowMS float64, load Load) bool {
 	if t.gatewayCount > MaxLoadGossipFleet {
 		return false
--- a/internal/demand/message.go
+++ b/internal/demand/message.go
@@ -7,13 +7,13 @@
 	"math"
 )
 
-// A message is the vector of its sender's demand, each entry a big-endian IEEE 754
-// single, then the sender's loads, each the engine's tag and the data set as
-// big-endian 32-bit numbers. It has no header: demand is never negative, and
-// datagrams of other kinds (see internal/peer) begin with a byte that makes the
-// first number negative.
+// A message is the demand vector of its sender, each entry as a big-endian IEEE 754
+// single-precision number, followed by the loads of the sender, each as two big-endian
+// 32-bit numbers: the hash of the engine's ID and the data set. A message has no header.
+// Datagrams of other kinds (see internal/peer) begin with a byte that would make the
+// first number negative, and demand is never negative.
 const (
-	// MaxMessageBytes is the length of the longest message to peers.
+	// MaxMessageBytes is the maximum length of a message.
 	MaxMessageBytes = 256
 
 	demandBytes = 4
@@ -22,7 +22,7 @@
 	maxDemand = math.MaxInt32
 )
 
-// errMalformed is wrapped in each error of decodeMessage.
+// errMalformed is wrapped by every error of decodeMessage.
 var errMalformed = errors.New("malformed demand message")
 
 func appendDemand(message []byte, value float64) []byte {
@@ -34,7 +34,7 @@
 	return binary.BigEndian.AppendUint32(message, load.Dataset)
 }
 
-// decodeMessage decodes a message with a vector of so many entries.
+// decodeMessage decodes a message whose demand vector has demandCount entries.
 func decodeMessage(message []byte, demandCount int) (peerState, error) {
 	loadsOffset := demandCount * demandBytes
 	if len(message) < loadsOffset || (len(message)-loadsOffset)%loadBytes != 0 {
@@ -44,7 +44,7 @@
 	for i := range demandCount {
 		bits := binary.BigEndian.Uint32(message[i*demandBytes:])
 		value := float64(math.Float32frombits(bits))
-		if inRange := value >= 0 && value <= maxDemand; !inRange { // not a number is out of range too
+		if inRange := value >= 0 && value <= maxDemand; !inRange { // false for NaN
 			return peerState{}, fmt.Errorf("%w: demand %v", errMalformed, value)
 		}
 		state.demand = append(state.demand, value)
