--- a/internal/slowstart/fleet_sim_test.go
+++ b/internal/slowstart/fleet_sim_test.go
@@ -20,40 +20,42 @@
 	slowStartWindowMS = 9000.0
 	overloadWindowMS  = 1500.0
 	overloadMultiple  = 4.0
-	coreEfficiency    = 0.85 // work that a core does in a millisecond
+	coreEfficiency    = 0.85 // milliseconds of work that a core does in a millisecond
 	stepMS            = 50.0
 	lastChangeMS      = 3000.0
 )
 
-// endpointChangesMS are the times at which engines join.
+// endpointChangesMS are the times at which engines are added to the endpoint list.
 var endpointChangesMS = []float64{0, 1000, 2200, lastChangeMS}
 
-// coresByKind are the cores of each kind of engine.
+// coresByKind is the number of cores of each kind of engine.
 var coresByKind = []int{8, 16}
 
-// requestRates are the requests of each class that a gateway receives per step.
+// requestRates is the probability, for each class, that a gateway receives a request in a
+// step.
 var requestRates = []float64{0.5, 0.24}
 
-// sentWork is work that reached an engine while it was warming up.
+// sentWork is work that was sent to an engine during its slow start.
 type sentWork struct{ atMS, workMS float64 }
 
-// simEngine is an engine and what was sent to it during its slow start.
+// simEngine is an engine and the work that was sent to it during its slow start.
 type simEngine struct {
 	startedAtMS float64
 	cores       float64
 	sends       []sentWork
 }
 
-// capacityMS is the work that the engine does in a span, at a fraction of its capacity.
+// capacityMS returns the work that the engine does in a time span at a fraction of its
+// capacity.
 func (e *simEngine) capacityMS(spanMS, fraction float64) float64 {
 	return coreEfficiency * e.cores * fraction * spanMS
 }
 
-// simGateway is one gateway: its decisions and the attempts that it has in flight.
+// simGateway is one gateway with its attempts in flight.
 type simGateway struct {
 	decisions      *control.Gateway
 	rng            *rand.Rand
-	notifiedAtMS   []float64 // when each change of the endpoint list reaches it
+	notifiedAtMS   []float64 // when it receives each change of the endpoint list
 	appliedChanges int
 	requests       int
 	inFlight       []simAttempt
@@ -64,7 +66,7 @@
 	endsAtMS          float64
 }
 
-// workOf returns the work of a request by the first letter of its id.
+// workOf returns the work of a request by the first letter of its ID.
 func workOf(requestID string) float64 {
 	if requestID[0] == 'r' {
 		return reportWorkMS
@@ -72,10 +74,10 @@
 	return quickWorkMS
 }
 
-// fleetSim simulates a fleet whose engines join in steps. Each gateway is notified
-// of a step at another time, all receive more requests than there is capacity for,
-// and one in five gateways restarts with nothing remembered. In a fleet that is not
-// divided, each gateway takes itself for the only one.
+// fleetSim simulates a fleet whose engines are added in steps. Gateways are notified of a
+// step at different times, receive more requests than the engines have capacity for, and
+// one in five restarts without its state. If divided is false, each gateway is configured
+// as if it were the only one, and the budgets are not divided.
 type fleetSim struct {
 	divided  bool
 	gateways []*simGateway
@@ -137,7 +139,7 @@
 	return settings
 }
 
-// snapshot returns the endpoint list after a change, as a gateway sees it.
+// snapshot returns the endpoint list after a change, as a gateway receives it.
 func (sim *fleetSim) snapshot(self, change int) control.Event {
 	list := slices.Clone(sim.lists[change])
 	if !sim.divided {
@@ -157,7 +159,7 @@
 	return control.Event{Kind: control.EndpointSnapshot, Engines: list}
 }
 
-// handle gives a gateway an event and starts the attempts that it asks for.
+// handle passes an event to a gateway and starts the attempts that the gateway returns.
 func (sim *fleetSim) handle(gateway *simGateway, event control.Event) {
 	for _, action := range gateway.decisions.Handle(sim.nowMS, event) {
 		if action.Kind != control.StartAttempt {
@@ -183,7 +185,8 @@
 
 func (sim *fleetSim) step(self int) {
 	gateway := sim.gateways[self]
-	if sim.nowMS > 2000 && self%5 == 1 && gateway.rng.IntN(100) == 0 { // restarts, and has the endpoint list
+	// The gateway restarts, and receives the endpoint list again.
+	if sim.nowMS > 2000 && self%5 == 1 && gateway.rng.IntN(100) == 0 {
 		gateway.decisions = control.New(sim.settings(self), gateway.rng.Uint64())
 		gateway.inFlight = nil
 		sim.handle(gateway, sim.snapshot(self, gateway.appliedChanges-1))
@@ -228,9 +231,9 @@
 	}
 }
 
-// worstExcess returns, for the window with the most requests over an engine's
-// overload threshold, by how many requests of mean work it exceeds the threshold n
-// and the 2*sqrt(n)+2 that chance may add.
+// worstExcess returns the maximum, over all engines and windows, of the work sent beyond
+// the limit, in requests of mean work. The limit is the engine's overload threshold n
+// plus a tolerance of 2*sqrt(n)+2 for random variation.
 func (sim *fleetSim) worstExcess() float64 {
 	worst := math.Inf(-1)
 	meanWorkMS := sim.totalMS / float64(sim.requests)
@@ -254,7 +257,7 @@
 	return worst
 }
 
-// usedFraction returns the part of all overload thresholds that was sent.
+// usedFraction returns the work sent as a fraction of the sum of the overload thresholds.
 func (sim *fleetSim) usedFraction() float64 {
 	sentMS := 0.0
 	thresholdMS := 0.0
@@ -269,24 +272,26 @@
 	return sentMS / thresholdMS
 }
 
-// The sum of what all gateways send to an engine that has just started stays under
-// its overload threshold in every window, with 20, 30 and 300 gateways, and the
-// threshold is used. Gateways that each take themselves for the only one exceed it.
+// The work that all gateways together send to an engine in slow start stays below its
+// overload threshold in every window, with 20, 30 and 300 gateways, and at least a tenth
+// of the threshold is used. Gateways that do not divide the budget exceed the threshold,
+// which shows that the simulation is able to detect the failure.
 func TestFleetStaysUnderOverloadThreshold(t *testing.T) {
 	for _, gatewayCount := range []int{20, 30, 300} {
 		sim := newFleetSim(gatewayCount, true)
 		sim.run()
 		excess, used := sim.worstExcess(), sim.usedFraction()
-		t.Logf("%d gateways: %.1f requests over the threshold and chance in the worst window, %.0f%% used",
+		t.Logf("%d gateways: worst window %.1f requests over the limit, %.0f%% of the thresholds used",
 			gatewayCount, excess, 100*used)
 		if excess > 0 || used < 0.1 {
-			t.Errorf("%d gateways: %.1f requests over in the worst window, %.2f of the thresholds used",
+			t.Errorf("%d gateways: worst window %.1f requests over the limit, %.2f of the thresholds used",
 				gatewayCount, excess, used)
 		}
 	}
 	sim := newFleetSim(30, false)
 	sim.run()
 	if excess := sim.worstExcess(); excess <= 0 {
-		t.Errorf("30 gateways that don't divide the budget are %.1f requests under the threshold: nothing is checked", -excess)
+		t.Errorf("30 gateways that do not divide the budget stay %.1f requests below the limit: "+
+			"the simulation has too little load to check anything", -excess)
 	}
 }
--- a/internal/slowstart/rotation.go
+++ b/internal/slowstart/rotation.go
@@ -5,18 +5,19 @@
 	"hash/fnv"
 )
 
-// slotsPerWindow is how many slots begin in a window. A window overlaps at most one more.
+// slotsPerWindow is the length of an overload window in slots. As a window need not start
+// with a slot, it overlaps at most one slot more.
 const slotsPerWindow = 2
 
-// slot is a span of time in which a few gateways may send more than the others.
+// slot is a time span in which a few gateways, its holders, may send more than the others.
 type slot struct {
-	startMS float64 // age of the engine
+	startMS float64 // age of the engine at which the slot starts
 	quotaMS float64 // work that each holder may send in the slot
 	holder  bool    // this gateway is one of the holders
 }
 
-// slotAt returns the slot at an age of the engine. Gateways hold slots in
-// rotation, from an index that follows from the engine's id and start time.
+// slotAt returns the slot at an age of the engine. Gateways hold slots in rotation, in
+// the order of their indices, starting with firstHolder.
 func (e *Engine) slotAt(ageMS float64) slot {
 	lengthMS := e.OverloadWindowMS / slotsPerWindow
 	number := int(max(0, ageMS) / lengthMS)
@@ -34,9 +35,10 @@
 	return slot{startMS: float64(number) * lengthMS, quotaMS: quotaMS, holder: offset < holders}
 }
 
-// firstHolder returns the index of the gateway with which the rotation begins.
+// firstHolder returns the index of the gateway with which the rotation begins. It depends
+// only on the engine's ID and start time, so all gateways compute the same.
 func (e *Engine) firstHolder(gatewayCount int) int {
 	hash := fnv.New32a()
-	_, _ = fmt.Fprint(hash, e.ID, e.StartedAtMS) // a hash never fails to write
+	_, _ = fmt.Fprint(hash, e.ID, e.StartedAtMS) // writing to a hash never returns an error
 	return int(hash.Sum32()) % gatewayCount
 }
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -5,13 +5,13 @@
 
 	"pgregory.net/rapid"
 
-	_ "dewhill/internal/testprocess" // fixes the seed
+	_ "dewhill/internal/testprocess" // fixes rapid's seed
 )
 
 // sentWork is work that a gateway sent to the engine.
 type sentWork struct{ ageMS, workMS float64 }
 
-// sentSince sums the work sent from an age of the engine on.
+// sentSince returns the sum of the work sent at or after an age of the engine.
 func sentSince(sends []sentWork, ageMS float64) (sumMS float64) {
 	for _, send := range sends {
 		if send.ageMS >= ageMS {
@@ -21,7 +21,7 @@
 	return sumMS
 }
 
-// sentAfter sums the work sent after an age of the engine.
+// sentAfter returns the sum of the work sent after an age of the engine.
 func sentAfter(sends []sentWork, ageMS float64) (sumMS float64) {
 	for _, send := range sends {
 		if send.ageMS > ageMS {
@@ -45,10 +45,9 @@
 	}
 }
 
-// Gateways that each send whatever fits their quota, in requests of any size, at any
-// time, whatever each takes as the largest piece, send no more together in any
-// window than all quotas sum to; and one that restarts without a memory of its
-// sends adds nothing.
+// Gateways that use up their quotas, with requests of any size at any time, together
+// send at most maxBudgetsPerWindow budgets in any window, also when gateways restart
+// without a record of what they sent.
 func TestSumOfQuotasIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engine := drawEngine(t)
@@ -86,15 +85,16 @@
 			}
 			sumMS := sentAfter(sends, ageMS-engine.OverloadWindowMS)
 			if maxMS := maxBudgetsPerWindow * engine.budgetMS(ageMS); sumMS > maxMS*1.000001 {
-				t.Fatalf("%v ms of work in the window up to age %v, at most %v allowed", sumMS, ageMS, maxMS)
+				t.Fatalf("%v ms of work in the window that ends at age %v ms, at most %v ms allowed",
+					sumMS, ageMS, maxMS)
 			}
 		}
 	})
 }
 
-// When an engine has warmed up so far that even quotas hold a large piece, what was
-// sent in slots just before still counts: small requests that fill every quota
-// completely sum to no more than all quotas.
+// When an engine has warmed up so far that even quotas replace slots, the work that was
+// sent in slots within the last window still counts: small requests that use up every
+// quota sum to at most maxBudgetsPerWindow budgets in any window.
 func TestSumIsBoundedWhenSlotsEnd(t *testing.T) {
 	for gatewayCount := 2; gatewayCount < 24; gatewayCount++ {
 		checkSumWhenSlotsEnd(t, gatewayCount)
@@ -111,7 +111,8 @@
 		ID: "e", Cores: 16, InitialFraction: 0.35, WindowMS: 12000,
 		OverloadMultiple: 4, OverloadWindowMS: 1500, GatewayCount: gatewayCount,
 	}
-	engine.LargestWorkMS = maxBudgetsPerWindow * engine.budgetMS(slotsEndMS) / float64(gatewayCount) / minEvenQuotaRequests
+	quotaMS := maxBudgetsPerWindow * engine.budgetMS(slotsEndMS) / float64(gatewayCount)
+	engine.LargestWorkMS = quotaMS / minEvenQuotaRequests
 	remembered := make([][]sentWork, gatewayCount)
 	fullWindows := 0
 	for ageMS := 0.0; ageMS < 9000; ageMS += 50 {
@@ -127,7 +128,7 @@
 		}
 		maxMS := maxBudgetsPerWindow * engine.budgetMS(ageMS)
 		if sumMS > maxMS {
-			t.Fatalf("%d gateways: %v ms of work in the window up to age %v, at most %v allowed",
+			t.Fatalf("%d gateways: %v ms of work in the window that ends at age %v ms, at most %v ms allowed",
 				gatewayCount, sumMS, ageMS, maxMS)
 		}
 		if ageMS > slotsEndMS+2*engine.OverloadWindowMS && sumMS > 0.8*maxMS {
@@ -135,11 +136,11 @@
 		}
 	}
 	if fullWindows == 0 {
-		t.Errorf("%d gateways: even quotas are never used", gatewayCount)
+		t.Errorf("%d gateways: no window after the slots uses more than 0.8 of the even quotas", gatewayCount)
 	}
 }
 
-// A gateway without an index may send nothing.
+// A gateway with a negative index may send nothing.
 func TestNegativeIndexAdmitsNothing(t *testing.T) {
 	engine := Engine{
 		ID: "e", Cores: 8, InitialFraction: 0.3, WindowMS: 1000,
@@ -150,10 +151,11 @@
 	}
 }
 
-// The fraction is the initial one at the start and never above 1.
+// The capacity fraction is InitialFraction at the start and at most 1.
 func TestCapacityFractionLimits(t *testing.T) {
 	engine := Engine{InitialFraction: 0.3, WindowMS: 1000}
 	if engine.CapacityFraction(5000) != 1 || engine.CapacityFraction(-3) != engine.InitialFraction {
-		t.Errorf("fractions %v and %v", engine.CapacityFraction(5000), engine.CapacityFraction(-3))
+		t.Errorf("fraction %v after the window, want 1; %v before the start, want %v",
+			engine.CapacityFraction(5000), engine.CapacityFraction(-3), engine.InitialFraction)
 	}
 }
