--- a/internal/subset/options.go
+++ b/internal/subset/options.go
@@ -7,28 +7,29 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Options are the operators' settings of subsets, from the TOML file
+// Options are the operators' settings of subsets, from a TOML file such as
 // deploy/fleet.toml:
 //
-//	# engines that a gateway of a large fleet uses; 0 turns subsets off;
-//	# without the key, as many as fit the engines' cores (AutoSize)
+//	# number of engines that a gateway of a large fleet uses; 0 turns subsets off;
+//	# without the key, the number follows from the engines' cores (AutoSize)
 //	per_front = 6
 type Options struct {
 	Size int `toml:"per_front"` // see Plan.Size
 }
 
-// MaxSize is the largest per_front. A larger subset is none at the fleet sizes
-// served; the bound catches a typo that would spread every gateway over all engines.
+// MaxSize is the largest valid per_front. At the supported fleet sizes, a larger number
+// amounts to no subsets at all. The bound detects typing errors that would make every
+// gateway use all engines.
 const MaxSize = 64
 
 var errUnknownKey = errors.New("unknown key")
 
-// DefaultOptions returns the options without a file.
+// DefaultOptions returns the options that apply without a file.
 func DefaultOptions() Options { return Options{Size: AutoSize} }
 
-// ParseOptions reads the options from the text of a TOML file of that name. A key
-// that does not exist, a value out of range or text that is no TOML is an error that
-// names the file, and the line if the TOML parser gives one.
+// ParseOptions parses the options from the text of a TOML file. Unknown keys, values out
+// of range and invalid TOML are errors. An error contains the name of the file, and the
+// line if the TOML parser reports it.
 func ParseOptions(name string, text []byte) (Options, error) {
 	options := DefaultOptions()
 	metadata, err := toml.Decode(string(text), &options)
--- a/internal/subset/options_test.go
+++ b/internal/subset/options_test.go
@@ -28,19 +28,19 @@
 			options, err := ParseOptions("fleet.toml", []byte(c.text))
 			if c.wantError != "" {
 				if err == nil || !strings.Contains(err.Error(), c.wantError) {
-					t.Errorf("error %v, want one with %q", err, c.wantError)
+					t.Errorf("error %v, want one that contains %q", err, c.wantError)
 				}
 				return
 			}
 			if err != nil || options.Size != c.wantSize {
-				t.Errorf("size %d, %v, want %d", options.Size, err, c.wantSize)
+				t.Errorf("size %d, error %v, want size %d", options.Size, err, c.wantSize)
 			}
 		})
 	}
 }
 
-// A valid file that is cut and followed by any text gives options in range or an
-// error that names the file, never a panic.
+// A truncated valid file followed by arbitrary text gives options in range or an error
+// that names the file, and never a panic.
 func TestParseOptionsMalformedText(t *testing.T) {
 	valid := "# subsets\nper_front = 8\n"
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/subset/selector.go
+++ b/internal/subset/selector.go
@@ -6,55 +6,57 @@
 	"slices"
 )
 
-// Selector selects subsets again and again while the endpoint list changes. It keeps
-// what a change does not affect: each gateway's preferred engines, in order. A change
-// of a few engines costs a step for each gateway, not one for each pair of a gateway
-// and an engine. The zero value is ready; it is not safe for concurrent use.
+// Selector selects subsets repeatedly while the endpoint list changes. Between calls it
+// keeps each gateway's ranking of engines, which a change of the list affects little: a
+// change of a few engines costs a step for each gateway, not one for each pair of a
+// gateway and an engine. The zero value is ready to use. A Selector is not safe for
+// concurrent use.
 type Selector struct {
 	gatewayCount int
 	byID         map[string]*candidate
 	candidates   []*candidate
-	generation   int       // counts calls of update
-	rankings     []ranking // by gateway
-	unmatched    []int     // gateways whose subset is not full, in match
+	generation   int       // number of calls of update
+	rankings     []ranking // by gateway index
+	unmatched    []int     // used by match: gateways that still propose
 }
 
 // candidate is a usable engine.
 type candidate struct {
 	id         string
 	hash       uint64
-	generation int        // the last generation whose list had it
-	capacity   int        // gateways that it may have
-	accepted   []proposal // those that it has, by falling weight
+	generation int        // Selector.generation when the list last had the engine
+	capacity   int        // maximum number of gateways that share the engine
+	accepted   []proposal // gateways that share the engine, by descending weight
 }
 
-// proposal is a gateway that wants an engine, with the weight of the pair.
+// proposal is the proposal of a gateway to an engine, with the weight of the pair.
 type proposal struct {
 	weight  uint64
 	gateway int
 }
 
-// ranking is a gateway's preferences by falling weight: every candidate whose weight
-// is not under the floor.
+// ranking holds a gateway's preferences by descending weight. Candidates whose weight is
+// below minWeight are left out until extendRanking lowers it.
 type ranking struct {
 	preferences []preference
 	minWeight   uint64
-	next        int // index of the preference that the gateway proposes to next, in match
-	matched     int // engines that have accepted the gateway, in match
+	next        int // used by match: index of the preference that the gateway proposes to next
+	matched     int // used by match: number of engines that have accepted the gateway
 }
 
+// preference is a candidate, with the weight of its pair with the gateway.
 type preference struct {
 	weight    uint64
 	candidate *candidate
 }
 
 const (
-	initialRankingLength = 24 // mean number of preferences that a ranking begins with
-	rankingGrowth        = 4  // factor by which a ranking that does not suffice is deepened
+	initialRankingLength = 24 // mean number of preferences in a new ranking
+	rankingGrowth        = 4  // factor by which a ranking that is exhausted is extended
 )
 
-// Select returns the same as Plan.Select. The plan may differ from that of the call
-// before.
+// Select returns the same result as Plan.Select. The plan may differ from that of the
+// previous call.
 func (s *Selector) Select(plan Plan, list []Engine) []Member {
 	usable, cores := usableEngines(list)
 	gatewayCount, index := plan.participants()
@@ -80,8 +82,8 @@
 	return members
 }
 
-// usableEngines returns the usable engines, with at least one core each, and the
-// cores of all of them.
+// usableEngines returns the usable engines, each with at least one core, and the sum of
+// their cores.
 func usableEngines(list []Engine) (usable []Engine, cores float64) {
 	for _, engine := range list {
 		if !engine.Usable {
@@ -94,7 +96,7 @@
 	return usable, cores
 }
 
-// member returns the candidate as a gateway sees it.
+// member returns the Member of the candidate for a gateway.
 func (c *candidate) member(gateway int) Member {
 	index := slices.IndexFunc(c.accepted, func(p proposal) bool { return p.gateway == gateway })
 	return Member{
@@ -105,7 +107,7 @@
 	}
 }
 
-// update brings candidates and rankings up to a list of usable engines.
+// update updates candidates and rankings to a new list of usable engines.
 func (s *Selector) update(gatewayCount int, usable []Engine) {
 	if s.gatewayCount != gatewayCount {
 		*s = Selector{gatewayCount: gatewayCount, byID: map[string]*candidate{}, generation: s.generation}
@@ -123,8 +125,8 @@
 	}
 }
 
-// addCandidates marks the candidates of a list as of this generation, makes those that are
-// new, and returns the latter.
+// addCandidates sets the generation of all candidates in the list, creates the candidates
+// that are new, and returns the new ones.
 func (s *Selector) addCandidates(usable []Engine) []*candidate {
 	var added []*candidate
 	for _, engine := range usable {
@@ -140,8 +142,7 @@
 	return added
 }
 
-// removeCandidates removes the candidates that are not of this generation, and returns
-// how many there were.
+// removeCandidates removes the stale candidates, and returns their number.
 func (s *Selector) removeCandidates() int {
 	before := len(s.candidates)
 	s.candidates = slices.DeleteFunc(s.candidates, s.isStale)
@@ -156,17 +157,18 @@
 	return removed
 }
 
+// isStale reports whether the current list does not have the candidate.
 func (s *Selector) isStale(c *candidate) bool { return c.generation != s.generation }
 
-// rankAll ranks all candidates for all gateways anew.
+// rankAll builds the rankings of all gateways from scratch.
 func (s *Selector) rankAll() {
 	s.rankings = make([]ranking, s.gatewayCount)
 	minWeight := uint64(0)
 	if count := uint64(len(s.candidates)); count > initialRankingLength {
 		minWeight = math.MaxUint64 - math.MaxUint64/count*initialRankingLength
 	}
-	// Candidates outermost: the inner loop, which runs for every pair of a gateway and
-	// an engine, then reads memory only for the pairs that are ranked.
+	// The outer loop is over the candidates, so that the inner loop, which runs for every
+	// pair of a gateway and an engine, accesses memory only for the pairs that are ranked.
 	for _, c := range s.candidates {
 		hash := c.hash
 		for gateway := range s.gatewayCount {
@@ -182,8 +184,8 @@
 	}
 }
 
-// appendPreferences appends, to a gateway's ranking, the candidates whose weight is
-// from lowest to highest. All that are in the ranking have a greater weight.
+// appendPreferences appends to a gateway's ranking the candidates whose weight is from
+// lowest to highest. All candidates already in the ranking have a greater weight.
 func (s *Selector) appendPreferences(gateway int, lowest, highest uint64) {
 	r := &s.rankings[gateway]
 	first := len(r.preferences)
@@ -195,7 +197,8 @@
 	slices.SortFunc(r.preferences[first:], byDescendingWeight)
 }
 
-// byDescendingWeight orders preferences; candidates of one weight, by id.
+// byDescendingWeight compares preferences by descending weight, then by the ID of the
+// candidate.
 func byDescendingWeight(a, b preference) int {
 	if a.weight != b.weight {
 		return cmp.Compare(b.weight, a.weight)
@@ -203,12 +206,13 @@
 	return cmp.Compare(a.candidate.id, b.candidate.id)
 }
 
-// adjustRanking removes stale candidates from a gateway's ranking and inserts those
-// that were added.
+// adjustRanking removes stale candidates from a gateway's ranking and inserts the added
+// ones.
 func (s *Selector) adjustRanking(gateway int, added []*candidate, hasStale bool) {
 	r := &s.rankings[gateway]
 	if hasStale {
-		r.preferences = slices.DeleteFunc(r.preferences, func(p preference) bool { return s.isStale(p.candidate) })
+		isStale := func(p preference) bool { return s.isStale(p.candidate) }
+		r.preferences = slices.DeleteFunc(r.preferences, isStale)
 	}
 	for _, c := range added {
 		p := preference{c.weight(gateway), c}
@@ -220,11 +224,12 @@
 	}
 }
 
-// match gives each gateway its engines by deferred acceptance: every gateway proposes
-// to its preferences in order until it has enough; an engine that is full keeps the
-// proposals of the greatest weight, and a gateway that it drops proposes on. As both
-// sides go by the weight of the pair, the result is that of accepting all pairs by
-// falling weight, whoever proposes first.
+// match assigns engines to gateways by deferred acceptance (Gale-Shapley): every gateway
+// proposes to its preferences in order until its subset is full; an engine that is full
+// keeps the proposals with the greatest weights, and a gateway that it drops continues
+// to propose. As gateways and engines both rank by the weight of the pair, the result
+// equals that of accepting all pairs by descending weight, in whatever order the
+// gateways propose.
 func (s *Selector) match(plan Plan, size int) {
 	s.unmatched = s.unmatched[:0]
 	for gateway := range s.rankings {
@@ -242,8 +247,8 @@
 	}
 }
 
-// fillSubset has a gateway propose until its subset has the size or it has no preference
-// left. Gateways that lose an engine by it become unmatched.
+// fillSubset lets a gateway propose until its subset has the given size or its preferences
+// are exhausted. Gateways that lose an engine to it become unmatched.
 func (s *Selector) fillSubset(gateway, size int) {
 	for s.rankings[gateway].matched < size {
 		p, ok := s.nextPreference(gateway)
@@ -262,8 +267,8 @@
 	}
 }
 
-// nextPreference returns the engine to which a gateway proposes next, false if it has
-// proposed to all.
+// nextPreference returns the preference to which a gateway proposes next, or false if the
+// gateway has proposed to all engines.
 func (s *Selector) nextPreference(gateway int) (preference, bool) {
 	r := &s.rankings[gateway]
 	for r.next == len(r.preferences) {
@@ -276,8 +281,8 @@
 	return r.preferences[r.next-1], true
 }
 
-// extendRanking lowers the floor of a gateway's ranking, which is above 0. The preferences
-// above the floor keep their indices.
+// extendRanking lowers the minWeight of a gateway's ranking, which must be above 0, and
+// appends the candidates that this adds. The present preferences keep their indices.
 func (s *Selector) extendRanking(gateway int) {
 	r := &s.rankings[gateway]
 	highest := r.minWeight - 1
@@ -289,12 +294,12 @@
 	s.appendPreferences(gateway, r.minWeight, highest)
 }
 
-// noneRejected says that an engine accepted a proposal and dropped none.
+// noneRejected is the result of propose if the engine had a free slot.
 const noneRejected = -1
 
-// propose accepts a proposal if the engine is not full or has one of less weight,
-// which it drops. It returns the gateway that goes without: the one that proposed, the
-// one that was dropped, or noneRejected.
+// propose proposes a gateway to the engine. An engine that is full keeps the proposals
+// with the greatest weights. It returns the gateway that is rejected, which is the
+// proposing gateway or the one whose proposal is dropped, or noneRejected.
 func (c *candidate) propose(p proposal) (rejected int) {
 	index, _ := slices.BinarySearchFunc(c.accepted, p, func(a, b proposal) int {
 		return cmp.Compare(b.weight, a.weight)
--- a/internal/subset/selector_test.go
+++ b/internal/subset/selector_test.go
@@ -12,8 +12,8 @@
 	_ "dewhill/internal/testprocess" // fixes rapid's seed
 )
 
-// selectGreedily selects by the definition: all pairs of a gateway and an engine by
-// falling weight, each accepted while neither is full.
+// selectGreedily is the reference implementation: it goes through all pairs of a gateway
+// and an engine by descending weight, and accepts a pair if neither side is full.
 func selectGreedily(plan Plan, list []Engine) []Member {
 	cores := 0.0
 	var usable []Engine
@@ -53,13 +53,14 @@
 	return members
 }
 
-// weightedPair is a gateway and the index of an engine.
+// weightedPair is a pair of a gateway and an engine, both by index, with its weight.
 type weightedPair struct {
 	weight          uint64
 	engine, gateway int
 }
 
-// weightedPairs returns all pairs by falling weight.
+// weightedPairs returns the pairs of all participating gateways and usable engines, by
+// descending weight.
 func weightedPairs(plan Plan, usable []Engine) []weightedPair {
 	var pairs []weightedPair
 	for i, engine := range usable {
@@ -74,8 +75,8 @@
 	return pairs
 }
 
-// A Selector that has followed a list through any changes selects what the definition
-// gives for the list as it is now.
+// After any sequence of changes of the list and the set of alive gateways, a Selector
+// selects the same as the reference implementation does for the current list.
 func TestSelectorMatchesDefinition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plan := Plan{
@@ -100,14 +101,14 @@
 			}
 			got, want := selector.Select(plan, list), selectGreedily(plan, list)
 			if !slices.Equal(got, want) {
-				t.Fatalf("%+v with %d engines:\n%v, want\n%v", plan, len(list), got, want)
+				t.Fatalf("plan %+v, %d engines: selected\n%v, want\n%v", plan, len(list), got, want)
 			}
 		}
 	})
 }
 
-// BenchmarkSelectorChange is the cost of one change of the list to a Selector that
-// follows the list, up to the largest fleet served.
+// BenchmarkSelectorChange measures Selector.Select after the change of one engine, up to
+// the largest supported fleet.
 func BenchmarkSelectorChange(b *testing.B) {
 	for _, c := range []struct{ gateways, engines int }{{300, 80}, {300, 1280}, {900, 3200}} {
 		b.Run(fmt.Sprintf("%dx%d", c.gateways, c.engines), func(b *testing.B) {
@@ -125,7 +126,7 @@
 	}
 }
 
-// BenchmarkSelect is the cost of a selection from scratch.
+// BenchmarkSelect measures a selection from scratch.
 func BenchmarkSelect(b *testing.B) {
 	for _, c := range []struct{ gateways, engines int }{{80, 60}, {300, 80}, {900, 3200}} {
 		b.Run(fmt.Sprintf("%dx%d", c.gateways, c.engines), func(b *testing.B) {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// testEngines returns engines of 8 and of 16 cores in turn.
+// testEngines returns engines that have 8 and 16 cores alternately.
 func testEngines(count int) []Engine {
 	list := make([]Engine, count)
 	for i := range list {
@@ -17,10 +17,10 @@
 	return list
 }
 
-// fleetSubsets are the subsets of all gateways of a fleet.
+// fleetSubsets holds the subsets of all gateways of a fleet.
 type fleetSubsets struct {
-	byGateway [][]string     // ids of engines
-	users     map[string]int // by engine's id, the gateways that use it
+	byGateway [][]string     // IDs of the engines in each gateway's subset
+	users     map[string]int // number of gateways that use an engine, by its ID
 }
 
 func selectForFleet(p Plan, list []Engine) fleetSubsets {
@@ -38,7 +38,7 @@
 	return subsets
 }
 
-// pair is a gateway and an engine of its subset.
+// pair is a gateway and the ID of an engine in its subset.
 type pair struct {
 	gateway int
 	engine  string
@@ -54,9 +54,9 @@
 	return pairs
 }
 
-// At the sizes of fleets that are served no gateway gets too few engines, and each
-// engine is shared in proportion to its cores by as many gateways as every one of
-// them sees, which have indices of their own.
+// At supported fleet sizes, no gateway gets too few engines, the number of gateways of an
+// engine is in proportion to its cores, and all gateways agree on that number and on the
+// indices of the gateways.
 func TestFleetIsSpreadByCores(t *testing.T) {
 	for _, c := range []struct{ gateways, engines, maxThreads, size int }{
 		{80, 30, 3, 3}, {80, 60, 2, 4}, {300, 80, 3, 3}, {80, 60, 0, 9},
@@ -67,7 +67,7 @@
 			subsets := selectForFleet(plan, list)
 			for gateway, ids := range subsets.byGateway {
 				if len(ids) < c.size-1 || len(ids) > c.size {
-					t.Errorf("gateway %d uses %d engines, want %d", gateway, len(ids), c.size)
+					t.Errorf("gateway %d uses %d engines, want %d or %d", gateway, len(ids), c.size-1, c.size)
 				}
 			}
 			checkMembers(t, plan, list, subsets.users)
@@ -75,19 +75,20 @@
 	}
 }
 
-// checkMembers checks what each gateway sees of the gateways that share an engine.
+// checkMembers checks that all gateways agree on the gateways that share an engine: users
+// is the actual number of gateways by engine, and their indices must be distinct.
 func checkMembers(t *testing.T, plan Plan, list []Engine, users map[string]int) {
 	t.Helper()
 	indexSums := map[string]int{}
 	for plan.GatewayIndex = range plan.GatewayCount {
 		for i, member := range plan.Select(list) {
 			if member.GatewayCount != users[member.EngineID] {
-				t.Fatalf("gateway %d sees %d gateways at %s, there are %d",
+				t.Fatalf("gateway %d computes %d gateways for engine %s, want %d",
 					plan.GatewayIndex, member.GatewayCount, member.EngineID, users[member.EngineID])
 			}
-			// The floors of one thread a gateway sum to no more than the cores.
+			// Each gateway reserves at least one thread: the sum must not exceed the cores.
 			if float64(member.GatewayCount) > list[i].Cores {
-				t.Errorf("%d gateways share %.0f cores", member.GatewayCount, list[i].Cores)
+				t.Errorf("%d gateways share an engine of %.0f cores", member.GatewayCount, list[i].Cores)
 			}
 			if member.Selected {
 				indexSums[member.EngineID] += member.GatewayIndex
@@ -96,26 +97,28 @@
 	}
 	for id, sum := range indexSums {
 		if n := users[id]; sum != n*(n-1)/2 {
-			t.Errorf("the %d gateways of %s have indices that sum to %d", n, id, sum)
+			t.Errorf("indices of the %d gateways of engine %s sum to %d, want %d", n, id, sum, n*(n-1)/2)
 		}
 	}
 }
 
-// A small fleet uses every engine: a subset would only lose choices.
+// In a small fleet every gateway uses every engine: a smaller subset would only reduce the
+// choice of engines.
 func TestSmallFleetUsesEveryEngine(t *testing.T) {
 	for gateway := range 3 {
 		plan := Plan{GatewayIndex: gateway, GatewayCount: 3, Size: AutoSize}
 		for i, member := range plan.Select(testEngines(8)) {
 			if !member.Selected || member.GatewayCount != 3 || member.GatewayIndex != gateway {
-				t.Errorf("gateway %d of 3, engine %d: %+v", gateway, i, member)
+				t.Errorf("gateway %d of 3, engine %d: %+v, want it selected and shared by 3",
+					gateway, i, member)
 			}
 		}
 	}
 }
 
-// An engine that is removed is in no subset, no gateway is left with nothing, and few
-// gateways that did not have it change their subset; one that restarts with nothing
-// but the list selects what it had.
+// After the removal of an engine, no subset has the engine, no subset is empty, and few
+// other pairs of gateway and engine change. A gateway that restarts and has only the list
+// selects the same subset as before.
 func TestRemovedEngineMovesFewOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plan := Plan{
@@ -129,10 +132,10 @@
 		changed := slices.Clone(list)
 		changed[removed].Usable = false
 		after := selectForFleet(plan, changed).byGateway
-		moves := 0 // engines that gateways gave up though they stay
+		moves := 0 // remaining engines that gateways no longer use
 		for gateway := range plan.GatewayCount {
 			if slices.Contains(after[gateway], removedID) || len(after[gateway]) == 0 {
-				t.Fatalf("gateway %d uses %v once %s may get no new work", gateway, after[gateway], removedID)
+				t.Fatalf("gateway %d uses %v after the removal of %s", gateway, after[gateway], removedID)
 			}
 			for _, id := range before[gateway] {
 				if id != removedID && !slices.Contains(after[gateway], id) {
@@ -141,24 +144,26 @@
 			}
 		}
 		if total := plan.GatewayCount * plan.Size; moves > total/3 {
-			t.Fatalf("one engine of %d was removed, and %d of %d other pairs moved", len(list), moves, total)
+			t.Fatalf("removal of one engine of %d moved %d of %d pairs, at most a third allowed",
+				len(list), moves, total)
 		}
 		again := selectForFleet(plan, changed).byGateway
 		if !slices.EqualFunc(again, after, slices.Equal) {
-			t.Fatal("gateways select other engines after a restart")
+			t.Fatal("gateways select different engines after a restart")
 		}
 	})
 }
 
-// Six in ten engines are replaced, half of them at a time, the new ones listed before
-// the old ones drain: most gateways that have an engine which stays keep it, and new
-// pairs of gateway and engine (each a handshake) are few. A selection from scratch
-// each time would keep one in ten and make three times as many new pairs.
+// Six in ten engines are replaced in two halves; the new engines of each half are listed
+// before the old ones drain. Most gateways keep the engines that are not replaced, and
+// there are few new pairs of gateway and engine, each of which costs a handshake. An
+// independent selection at each change would keep one in ten of those pairs and make three
+// times as many new ones.
 func TestMassReplacementMovesLittle(t *testing.T) {
 	const (
 		initial  = 30 // engines in use at first
 		total    = 48
-		replaced = 18 // in two halves
+		replaced = 18 // in two equal steps
 	)
 	plan := Plan{GatewayCount: 80, Size: AutoSize, MaxThreads: 3}
 	list := testEngines(total)
@@ -202,7 +207,7 @@
 		}
 	}
 	if unmoved < stayed/2 || newPairs > len(first)*3/2 {
-		t.Errorf("%d of %d pairs with engines that stay have not moved; %d new pairs, %d at first",
+		t.Errorf("%d of %d pairs with remaining engines are unchanged; %d new pairs, %d initial pairs",
 			unmoved, stayed, newPairs, len(first))
 	}
 }
--- a/internal/subset/weight.go
+++ b/internal/subset/weight.go
@@ -2,15 +2,15 @@
 
 import "hash/fnv"
 
-// splitMixGamma is the increment of SplitMix64: it spreads consecutive gateways over
-// all numbers.
+// splitMixGamma is the increment of SplitMix64. It spreads the indices of gateways over
+// the range of 64-bit numbers.
 const splitMixGamma = 0x9e3779b97f4a7c15
 
 // weight returns the weight of the pair of an engine and a gateway.
 func (c *candidate) weight(gateway int) uint64 { return pairWeight(c.hash, gateway) }
 
-// pairWeight returns the weight of the pair of an engine, by the hash of its id, and
-// a gateway.
+// pairWeight returns the weight of the pair of an engine, given by the hash of its ID,
+// and a gateway.
 func pairWeight(engineHash uint64, gateway int) uint64 {
 	return mix(engineHash + uint64(gateway)*splitMixGamma)
 }
@@ -24,6 +24,6 @@
 
 func hashOf(engineID string) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(engineID)) // a hash never fails to write
+	_, _ = hash.Write([]byte(engineID)) // Write on a hash never returns an error
 	return hash.Sum64()
 }
