--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A gateway among 300, on 66 engines: a dashboard and a sweep, with work held.
+// BenchmarkHandle measures the handling of a dashboard and a sweep at one of 300 gateways
+// with 66 engines, while secondary work is queued.
 func BenchmarkHandle(b *testing.B) {
 	s := manyGateways()
 	s.GatewayCount = 300
@@ -19,7 +20,7 @@
 	now := 1000.0
 	g.Handle(now, Event{Kind: EndpointSnapshot, Engines: list})
 	for i := range 5 {
-		g.Handle(now, Event{Kind: RequestArrived, RequestID: fmt.Sprint("held", i), Class: 1, WorkMS: 3000,
+		g.Handle(now, Event{Kind: RequestArrived, RequestID: fmt.Sprint("queued", i), Class: 1, WorkMS: 3000,
 			DeadlineAtMS: math.Inf(1), Dataset: i})
 	}
 	for i := 0; b.Loop(); i++ {
@@ -36,9 +37,9 @@
 	}
 }
 
-// BenchmarkLargeFleet is the cost of a request, with its answer and the sweeps
-// of its time, at one of 80 gateways with 60 engines listed and four of them its
-// own.
+// BenchmarkLargeFleet measures the handling of a request, its outcome and the sweeps until
+// the next request, at one of 80 gateways with 60 engines listed, four of which are in
+// its subset.
 func BenchmarkLargeFleet(b *testing.B) {
 	s := oneGateway()
 	s.GatewayCount = 80
@@ -58,7 +59,7 @@
 					ElapsedMS: 40, RequestDone: true})
 			}
 		}
-		for range 6 { // seven requests a second
+		for range 6 { // about seven requests per second
 			now += sweepIntervalMS
 			g.Handle(now, Event{Kind: TimerFired, Timer: SweepTimer})
 		}
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -3,15 +3,16 @@
 import "slices"
 
 const (
-	removedEngineTTLMS = 60000.0 // for which a removed engine is remembered, as it may be listed again
+	removedEngineTTLMS = 60000.0 // state of a removed engine is kept this long, as it may be listed again
 
-	// Between a failed call for the endpoint list and the next one, at random: the
-	// service may be down from being asked.
+	// The delay between a failed request for the endpoint list and the next one is
+	// minWatchRetryMS plus a random part of watchRetryJitterMS: the discovery service
+	// may be down because too many gateways poll it at once.
 	minWatchRetryMS    = 500.0
 	watchRetryJitterMS = 5000.0
 )
 
-// updateEndpoints applies a snapshot of the endpoint list, or an update of it.
+// updateEndpoints applies a snapshot of the endpoint list or an incremental update.
 func (g *Gateway) updateEndpoints(list []EngineInfo, snapshot bool) {
 	if snapshot {
 		for _, e := range g.engines {
@@ -26,7 +27,7 @@
 			g.engines = append(g.engines, e)
 			g.engineByID[info.ID] = e
 		} else if info.StartedAtMS > e.StartedAtMS {
-			e.health.reset() // restarted under its old id
+			e.health.reset() // restarted under the same ID
 		}
 		info.StartedAtMS = max(info.StartedAtMS, e.StartedAtMS)
 		e.EngineInfo = info
@@ -39,20 +40,20 @@
 	g.recountEngines()
 }
 
-// retryWatch asks for the endpoint list again, later.
+// retryWatch schedules another request for the endpoint list.
 func (g *Gateway) retryWatch() {
 	delayMS := minWatchRetryMS + g.rng.Float64()*watchRetryJitterMS
 	g.emit(Action{Kind: SetTimer, DelayMS: delayMS, Timer: WatchTimer})
 }
 
-// updateAvailability settles whether an engine may be used.
+// updateAvailability recomputes whether an engine may be used.
 func (g *Gateway) updateAvailability(e *engine) {
 	_, disabled := g.disabledSinceMS[e.ID]
 	e.listing.available = e.listing.present && !e.Draining && !disabled
 }
 
-// markRemoved marks the engines that a snapshot leaves out as removed, and notes
-// when the others were last present.
+// markRemoved marks the engines that are missing from a snapshot as removed, and
+// updates the time at which the others were last present.
 func (g *Gateway) markRemoved(snapshot bool) {
 	for _, e := range g.engines {
 		if snapshot && !e.listing.present {
@@ -64,8 +65,8 @@
 	}
 }
 
-// deleteRemovedEngines drops engines that were removed long ago and run nothing of
-// this gateway.
+// deleteRemovedEngines deletes the engines that were removed longer than
+// removedEngineTTLMS ago and run no attempt of this gateway.
 func (g *Gateway) deleteRemovedEngines() {
 	g.engines = slices.DeleteFunc(g.engines, func(e *engine) bool {
 		stale := g.nowMS > e.listing.lastPresentAtMS+removedEngineTTLMS && e.load.threads() == 0
@@ -76,8 +77,8 @@
 	})
 }
 
-// disableEngine sets an administrative override: the engine is not used, whatever
-// the endpoint list says of it.
+// disableEngine sets an administrative override: the engine is not used, even if
+// the endpoint list has it as active.
 func (g *Gateway) disableEngine(id string) {
 	if _, disabled := g.disabledSinceMS[id]; disabled {
 		return
@@ -88,9 +89,9 @@
 	}
 }
 
-// enableEngine lifts an administrative override. The engine counts as just started
-// unless the endpoint list shows a restart since it was disabled: the list is
-// seconds late, and the engine may be warming up.
+// enableEngine removes an administrative override. The engine is treated as just
+// started unless the endpoint list shows a restart since it was disabled: the list
+// lags by seconds, and the engine may be warming up.
 func (g *Gateway) enableEngine(id string) {
 	sinceMS, disabled := g.disabledSinceMS[id]
 	if !disabled {
@@ -108,15 +109,15 @@
 	g.applyOverride(e)
 }
 
-// applyOverride records that the override of an engine has changed.
+// applyOverride updates the state that depends on the override of an engine.
 func (g *Gateway) applyOverride(e *engine) {
 	g.updateAvailability(e)
 	clear(g.preferredEngines)
 	g.recountEngines()
 }
 
-// recountEngines adds up the cores under each thread limit, and how many more
-// engines are ejected than are not.
+// recountEngines sums the cores of the available engines under each thread limit, and
+// computes ejectionBalance.
 func (g *Gateway) recountEngines() {
 	g.ejectionBalance = 0
 	for _, e := range g.engines {
@@ -135,8 +136,8 @@
 	}
 }
 
-// EngineCounts counts the engines in the endpoint list, and those of them that get
-// nothing now: draining, disabled or ejected.
+// EngineCounts returns the number of engines in the endpoint list, and how many of
+// them get no requests because they are draining, disabled or ejected.
 func (g *Gateway) EngineCounts() (listed, outOfService int) {
 	for _, e := range g.engines {
 		if !e.listing.present {
--- a/control/engine.go
+++ b/control/engine.go
@@ -2,52 +2,52 @@
 
 import "math"
 
-// kindState is what engines of one kind have in common.
+// kindState is the state that the engines of one kind share.
 type kindState struct {
 	cores              float64
-	lightLoadLatencyMS runningMean // of dashboards at lightly loaded engines
-	limit              threadLimit // of all its engines, where they share one
+	lightLoadLatencyMS runningMean // of dashboards on lightly loaded engines
+	limit              threadLimit // of all engines of the kind, where they share one limit
 }
 
-// engine is an engine and what this gateway knows of it.
+// engine is the state of one engine at this gateway.
 type engine struct {
 	EngineInfo
 	cores     float64
-	gossipTag uint32 // its name in messages to peers
+	gossipTag uint32 // hash of its ID, which identifies it in messages to peers
 
 	listing        engineListing
 	load           engineLoad
 	health         engineHealth
 	affinity       engineAffinity
-	slowStartSends []sentWork // within the last overload window while it warms up
+	slowStartSends []sentWork // sent within the last overload window during its slow start
 
-	limit              *threadLimit // its own, or its kind's
-	sharesThreadLimit  bool         // limit is its kind's
-	lightLoadLatencyMS *runningMean // its kind's
+	limit              *threadLimit // of this engine alone, or of all engines of its kind
+	sharesThreadLimit  bool         // limit is that of its kind
+	lightLoadLatencyMS *runningMean // of its kind
 }
 
-// engineListing is what the endpoint list and overrides say of an engine.
+// engineListing is the state of an engine by the endpoint list and the overrides.
 type engineListing struct {
 	present         bool // in the endpoint list
 	available       bool // present, not draining, and not disabled
 	lastPresentAtMS float64
 }
 
-// engineLoad is what runs on an engine.
+// engineLoad is the load on an engine.
 type engineLoad struct {
 	dashboardThreads int   // of this gateway's attempts
 	secondaryThreads int   // of this gateway's attempts
-	datasetsLoading  []int // data sets of this gateway's loads
+	datasetsLoading  []int // data sets of this gateway's loads in flight
 
 	reportedThreads    float64 // of all gateways, by the last load report
 	reportedAtMS       float64
-	threadsSinceReport float64 // started by this gateway since
+	threadsSinceReport float64 // of the attempts that this gateway started after that report
 }
 
-// threads returns the threads of this gateway's attempts.
+// threads returns the number of threads of this gateway's attempts in flight.
 func (l *engineLoad) threads() int { return l.dashboardThreads + l.secondaryThreads }
 
-// newEngine returns an engine that the endpoint list names for the first time.
+// newEngine returns the initial state of an engine that is new in the endpoint list.
 func (g *Gateway) newEngine(info EngineInfo) *engine {
 	kind := &g.engineKinds[len(g.settings.EngineKinds)]
 	if info.Kind >= 0 && info.Kind < len(g.settings.EngineKinds) {
@@ -67,7 +67,8 @@
 	return e
 }
 
-// addThreads counts the threads of an attempt in; negative ones are counted out.
+// addThreads adds the threads of an attempt that has started to the load. When an
+// attempt ends, the caller passes the negative number.
 func (e *engine) addThreads(c *class, threads int) {
 	c.threadsInFlight += threads
 	if c.isDashboard {
--- a/control/estimate.go
+++ b/control/estimate.go
@@ -3,22 +3,26 @@
 import "math"
 
 const (
-	minSampleWeight = 0.05 // least weight of a new sample in a running mean: the last 20 or so count
+	minSampleWeight = 0.05 // of a new sample in a running mean: about the last 20 samples count
 
-	initialSlowdown  = 1.5 // until learned
+	initialSlowdown  = 1.5 // until there are samples
 	initialDeviation = 0.4
-	maxSampleFactor  = 4.0 // times the mean slowdown that a sample counts at most
+	maxSampleFactor  = 4.0 // a slowdown sample is limited to this multiple of the mean
 
 	minEstimateBias = 0.1
 	maxEstimateBias = 10
 
-	largeWorkFraction = 0.45 // part of its objective that a large request takes on all its threads
+	largeWorkFraction = 0.45 // a large request takes this fraction of its objective on all its threads
 
-	overrunFraction      = 0.5 // part of its delay so far that an overdue attempt is expected to go on
-	minRemainingFraction = 0.2 // part of its expected duration that an attempt has left at the least
+	// An attempt past its expected duration is expected to run for another
+	// overrunFraction of the excess, and any attempt for at least
+	// minRemainingFraction of its expected duration.
+	overrunFraction      = 0.5
+	minRemainingFraction = 0.2
 )
 
-// runningMean is a mean in which the latest samples count most.
+// runningMean is the arithmetic mean of the first samples, then an exponentially
+// weighted moving average.
 type runningMean struct {
 	value float64
 	count float64
@@ -29,15 +33,15 @@
 	m.value += (x - m.value) * max(minSampleWeight, 1/m.count)
 }
 
-// estimates is what was learned of all requests and engines together.
+// estimates are the running estimates over all requests and engines.
 type estimates struct {
 	dashboardLatencyMS  runningMean
-	slowdown            runningMean // thread time of secondary attempts over their work
-	slowdownDeviation   runningMean // mean deviation from it, as a part
+	slowdown            runningMean // thread time of secondary attempts divided by their work
+	slowdownDeviation   runningMean // mean deviation from slowdown, as a fraction of it
 	totalAttemptMS      float64     // sum of the durations of attempts
 	totalThreadMS       float64     // sum of their thread times
 	shortestObjectiveMS float64     // of dashboards
-	largestWorkMS       float64     // of a large request, by the settings
+	largestWorkMS       float64     // work of a large request, by the settings
 }
 
 func newEstimates(classes []Class) estimates {
@@ -53,23 +57,24 @@
 		largeWorkMS := largeWorkFraction * c.LatencyObjectiveMS * float64(max(1, c.Threads))
 		est.largestWorkMS = max(est.largestWorkMS, largeWorkMS)
 	}
-	// Finite also without dashboards, where the controller never moves.
+	// The value stays finite without dashboards; the controller never moves then.
 	est.shortestObjectiveMS = min(objectiveMS, maxIntervalMS)
 	return est
 }
 
-// recordAttempt adds the duration of an attempt.
+// recordAttempt adds the duration and thread time of an attempt to the totals.
 func (est *estimates) recordAttempt(elapsedMS float64, threads int) {
 	est.totalAttemptMS += elapsedMS
 	est.totalThreadMS += elapsedMS * float64(threads)
 }
 
-// threadsPerRequest is the mean number of threads of a request in flight.
+// threadsPerRequest returns the mean number of threads of a request in flight.
 func (est *estimates) threadsPerRequest() float64 {
 	return max(1, est.totalThreadMS/max(1, est.totalAttemptMS))
 }
 
-// recordSecondaryAttempt learns from the duration of an attempt of secondary work.
+// recordSecondaryAttempt adds the duration of an attempt of secondary work to the
+// estimates.
 func (est *estimates) recordSecondaryAttempt(elapsedMS, workMS float64, threads int) {
 	slowdown := max(1, est.slowdown.value)
 	sample := min(elapsedMS*float64(threads)/workMS, maxSampleFactor*slowdown)
@@ -77,8 +82,8 @@
 	est.slowdown.add(sample)
 }
 
-// averageWorkMS is the usual work of the request's class, its objective while that
-// is unknown.
+// averageWorkMS returns the mean work of the request's class, or the class's latency
+// objective while there is no sample.
 func (r *request) averageWorkMS() float64 {
 	if r.class.averageWorkMS.count > 0 {
 		return r.class.averageWorkMS.value
@@ -86,7 +91,8 @@
 	return r.class.LatencyObjectiveMS
 }
 
-// workMS is a request's work: its estimate, corrected by its class's bias.
+// workMS returns a request's work: its estimate, corrected by the estimate bias of its
+// class, or the mean work of the class if it has no estimate.
 func (g *Gateway) workMS(r *request) float64 {
 	if r.estimatedWorkMS > 0 {
 		return r.estimatedWorkMS * r.class.estimateBias.value
@@ -94,30 +100,31 @@
 	return r.averageWorkMS()
 }
 
-// uncontendedDurationMS is how long an attempt takes with an engine to itself.
+// uncontendedDurationMS returns the duration of an attempt on an otherwise idle engine.
 func (g *Gateway) uncontendedDurationMS(r *request) float64 {
 	return g.workMS(r) / float64(r.class.Threads)
 }
 
-// expectedDurationMS is how long an attempt is expected to take.
+// expectedDurationMS returns the expected duration of an attempt under the current load.
 func (g *Gateway) expectedDurationMS(r *request) float64 {
 	return g.uncontendedDurationMS(r) * max(1, g.estimates.slowdown.value)
 }
 
-// expectedRemainingMS is how much longer an attempt is expected to take.
+// expectedRemainingMS returns how much longer an attempt of that age is expected to run.
 func expectedRemainingMS(ageMS, expectedMS float64) float64 {
 	return max(expectedMS-ageMS, overrunFraction*(ageMS-expectedMS), minRemainingFraction*expectedMS)
 }
 
-// objectiveAtMS is the time after which a response has its late weight only.
+// objectiveAtMS returns the time after which a response earns only the late weight.
 func (g *Gateway) objectiveAtMS(r *request) float64 {
 	return min(r.deadlineAtMS,
 		r.arrivedAtMS+r.class.LatencyObjectiveMS+r.class.ObjectiveSlope*g.uncontendedDurationMS(r))
 }
 
-// updateEstimates learns from an outcome about its class and its engine. An attempt
-// that was blocked by a load shows what the load does, not its engine, and one that
-// ended in a pause of this gateway shows nothing.
+// updateEstimates updates the estimates of the request's class and engine from the
+// outcome of an attempt. The duration of an attempt that was blocked by a load reflects
+// the load and not the engine, and the duration of an attempt whose end was delayed by
+// a pause of this gateway is meaningless: neither counts.
 func (g *Gateway) updateEstimates(r *request, a *attempt, ev Event) {
 	workMS := g.workMS(r)
 	if ev.Result == Served && ev.WorkMS > 0 && r.estimatedWorkMS > 0 {
@@ -130,15 +137,16 @@
 		g.updateFromDashboard(r, a, ev)
 		return
 	}
-	// Cancelled attempts count: without them a full fleet would look fast, and ever
-	// more of its attempts would be cancelled.
+	// Cancelled attempts count: without them an overloaded fleet would look fast, the
+	// expected durations would shrink, and more and more attempts would be cancelled.
 	if !a.blockedByLoad && (ev.Result == Served || a.cancelled) && workMS > 0 {
 		g.estimates.recordSecondaryAttempt(ev.ElapsedMS, workMS, r.class.Threads)
 	}
 }
 
-// updateFromDashboard records the latency of a dashboard. One without a response
-// counts as its objective at least: without it a dead engine would look fast.
+// updateFromDashboard records the latency of a dashboard. A dashboard without a
+// response counts with at least its latency objective: otherwise a dead engine would
+// look fast.
 func (g *Gateway) updateFromDashboard(r *request, a *attempt, ev Event) {
 	if ev.Result == Served {
 		a.engine.limit.dashboards.threadsDone += r.class.Threads
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -6,8 +6,8 @@
 	"dewhill/control"
 )
 
-// A gateway is made from its settings and a seed, takes events, and returns the
-// actions to carry out.
+// A gateway is created from its settings and a seed. It takes events and returns the
+// actions that the caller is to carry out.
 func Example() {
 	g := control.New(control.Settings{
 		GatewayCount: 1,
@@ -19,8 +19,8 @@
 		},
 	}, 1)
 
-	// The caller's own loop hands over events with its clock, in milliseconds.
-	do := func(now float64, ev control.Event) {
+	// The caller's event loop passes each event with the time of its clock, in milliseconds.
+	handle := func(now float64, ev control.Event) {
 		for _, a := range g.Handle(now, ev) {
 			switch a.Kind {
 			case control.StartAttempt:
@@ -28,16 +28,18 @@
 			case control.RejectRequest, control.FailRequest:
 				fmt.Printf("%.0f: end %s\n", now, a.RequestID)
 			case control.SetTimer:
-				// Hand over TimerFired with a.Timer after a.DelayMS.
+				// Pass TimerFired with a.Timer after a.DelayMS.
 			default:
-				// Carry out the others alike.
+				// Carry out the other kinds of actions.
 			}
 		}
 	}
-	do(0, control.Event{Kind: control.EndpointSnapshot, Engines: []control.EngineInfo{{ID: "db1:5432"}}})
-	do(10, control.Event{Kind: control.RequestArrived, RequestID: "r1", Class: 0, DeadlineAtMS: 2010, WorkMS: 80})
-	do(11, control.Event{Kind: control.RequestArrived, RequestID: "r2", Class: 1, DeadlineAtMS: 20011, WorkMS: 3000})
-	do(95, control.Event{Kind: control.AttemptEnded, RequestID: "r1", Engine: "db1:5432",
+	handle(0, control.Event{Kind: control.EndpointSnapshot, Engines: []control.EngineInfo{{ID: "db1:5432"}}})
+	handle(10, control.Event{Kind: control.RequestArrived, RequestID: "r1", Class: 0,
+		DeadlineAtMS: 2010, WorkMS: 80})
+	handle(11, control.Event{Kind: control.RequestArrived, RequestID: "r2", Class: 1,
+		DeadlineAtMS: 20011, WorkMS: 3000})
+	handle(95, control.Event{Kind: control.AttemptEnded, RequestID: "r1", Engine: "db1:5432",
 		Result: control.Served, ElapsedMS: 85, RequestDone: true})
 	// Output:
 	// 10: send r1 to db1:5432
--- a/control/gateway.go
+++ b/control/gateway.go
@@ -10,51 +10,52 @@
 
 const (
 	sweepIntervalMS  = 25.0
-	pauseThresholdMS = 100.0 // a sweep later than this shows that the process was paused
+	pauseThresholdMS = 100.0 // a sweep that is more than this late shows that the process was paused
 
-	rngStream = 0x6c617069 // of the random numbers that a seed gives
+	rngStream = 0x6c617069 // second seed word of the random number generator
 )
 
-// Gateway decides for one gateway. New returns one that is ready for use.
+// Gateway is the state machine of one gateway. Use New to create one.
 type Gateway struct {
 	settings          Settings
 	rng               *rand.Rand
 	nowMS             float64
 	started           bool
 	startedAtMS       float64
-	actions           []Action // of the event in hand
+	actions           []Action // caused by the current event
 	sweepDueMS        float64
-	pauseDetectedAtMS float64 // when a pause of this process was last found
+	pauseDetectedAtMS float64 // when a pause of this process was last detected
 
 	classes     []class
-	engineKinds []kindState // the last stands for unknown kinds
+	engineKinds []kindState // the last entry is for unknown kinds
 	estimates   estimates
 
 	// Engines.
-	engines          []*engine // in the order in which they were first heard of
+	engines          []*engine // in the order in which they were first listed
 	engineByID       map[string]*engine
-	disabledSinceMS  map[string]float64 // engines under an administrative override, listed or not
-	ejectionBalance  int                // ejected engines less the others
+	disabledSinceMS  map[string]float64 // engines disabled by an administrative override, listed or not
+	ejectionBalance  int                // ejected available engines minus the other available engines
 	preferredEngines map[preferenceKey][]*engine
 	nextProbeAtMS    float64
 
 	// Requests.
-	openRequests []*request // all that owe an answer or an outcome, in order of arrival
+	openRequests []*request // without a final response or with an attempt in flight, in order of arrival
 	requestByID  map[string]*request
-	queue        []*request // in order of arrival
+	queue        []*request // waiting for an engine, in order of arrival
 	keys         keyOrder
 	nextSequence int
 	retryBudget  retryBudget
 	earnings     earnings
 
-	demand *demand.Tracker // of this gateway and its peers
+	demand *demand.Tracker // demand and loads of this gateway and its peers
 
-	// Buffers that sweeps use again.
+	// Buffers that are reused by each sweep.
 	latencyRatios []float64
 	schedule      []*request
 }
 
-// New returns a gateway at its start. The seed decides what is drawn at random.
+// New returns a gateway that has handled no event. All random choices follow from the
+// seed.
 func New(s Settings, seed uint64) *Gateway {
 	g := &Gateway{
 		settings:         s,
@@ -75,8 +76,8 @@
 	return g
 }
 
-// Handle takes an event at a time of the caller's clock, which must not go
-// backwards, and returns the actions to take, in order.
+// Handle processes an event and returns the actions to carry out, in order. nowMS is
+// the time of the caller's clock, which must not go backwards.
 func (g *Gateway) Handle(nowMS float64, ev Event) []Action {
 	g.nowMS = nowMS
 	g.actions = nil
@@ -106,7 +107,7 @@
 	}
 }
 
-// apply updates the state by an event. Kinds that it doesn't know change nothing.
+// apply updates the state by an event. An event of an unknown kind has no effect.
 func (g *Gateway) apply(ev Event) {
 	switch ev.Kind {
 	case RequestArrived:
@@ -152,18 +153,19 @@
 	}
 }
 
-// setSweepTimer asks for the next sweep. One that comes late shows that this
-// process was paused: what it finds then is older than it looks, and nothing is
-// judged by it.
+// setSweepTimer schedules the next sweep. A late sweep shows that this process was
+// paused. Replies may then have waited unread, so engines look slower than they are,
+// and no attempt or engine is judged by what that sweep finds.
 func (g *Gateway) setSweepTimer() {
 	g.sweepDueMS = g.nowMS + sweepIntervalMS
 	g.emit(Action{Kind: SetTimer, DelayMS: sweepIntervalMS, Timer: SweepTimer})
 }
 
-// wasPaused reports whether a pause of this process has just been found.
+// wasPaused reports whether the current event revealed a pause of this process.
 func (g *Gateway) wasPaused() bool { return g.pauseDetectedAtMS == g.nowMS }
 
-// sweep does what no event asks for.
+// sweep does the periodic work: it updates averages, closes control intervals, checks
+// the open requests and sheds load.
 func (g *Gateway) sweep() {
 	g.demand.Decay(sweepIntervalMS)
 	g.broadcastIfDue(true)
@@ -186,6 +188,7 @@
 	g.shedOpenRequests()
 }
 
+// emit appends an action to those that Handle returns.
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
 func (g *Gateway) log(entry LogEntry) { g.emit(Action{Kind: WriteLog, Log: entry}) }
--- a/control/gateway_test.go
+++ b/control/gateway_test.go
@@ -5,16 +5,18 @@
 	"testing"
 )
 
+// The same settings, seed and events give the same actions.
 func TestSameEventsSameActions(t *testing.T) {
-	day := func() string {
-		tr := newScenario(t, twoEngineKinds(), EngineInfo{ID: "a"}, EngineInfo{ID: "b"}, EngineInfo{ID: "c", Kind: 1})
+	run := func() string {
+		list := []EngineInfo{{ID: "a"}, {ID: "b"}, {ID: "c", Kind: 1}}
+		tr := newScenario(t, twoEngineKinds(), list...)
 		for i := range 200 {
 			tr.arrive(fmt.Sprint(i), i%3, 100, 3000)
 			tr.advance(7)
 		}
 		return fmt.Sprint(tr.actions)
 	}
-	if a, b := day(), day(); a != b {
-		t.Error("two runs of the same events differ")
+	if first, second := run(), run(); first != second {
+		t.Error("two runs with the same events gave different actions")
 	}
 }
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -6,7 +6,7 @@
 	"dewhill/internal/demand"
 )
 
-// gatewaysUsing is how many gateways use the engine.
+// gatewaysUsing returns the number of gateways that use the engine.
 func (g *Gateway) gatewaysUsing(e *engine) float64 {
 	if e.GatewayCount > 0 {
 		return float64(e.GatewayCount)
@@ -14,7 +14,8 @@
 	return g.demand.AliveGateways()
 }
 
-// broadcastIfDue sends this gateway's demand and loads to the others when due.
+// broadcastIfDue sends this gateway's demand and loads to its peers if a broadcast is
+// due.
 func (g *Gateway) broadcastIfDue(inSweep bool) {
 	if g.demand.BroadcastDue(g.nowMS, inSweep) {
 		g.emit(Action{Kind: Broadcast, Message: g.demand.Encode(g.nowMS, g.runningLoads)})
@@ -32,8 +33,8 @@
 	}
 }
 
-// runsLoad reports whether a load of the data set is in flight at the engine, of
-// this gateway or of another one.
+// runsLoad reports whether this gateway or a peer has a load of the data set in flight
+// on the engine.
 func (g *Gateway) runsLoad(e *engine, dataset int) bool {
 	return slices.Contains(e.load.datasetsLoading, dataset) ||
 		g.demand.RunsAtPeer(g.nowMS, gossipedLoad(e, dataset))
--- a/control/gossip_test.go
+++ b/control/gossip_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A gateway gossips its running loads, and the readers and loads of its peers avoid
-// their engines until it gossips that they have ended.
+// A gateway broadcasts its loads in flight. The requests of its peers that such a load
+// would block avoid its engine until the gateway broadcasts that the load has ended.
 func TestLoadsOfPeersAreAvoided(t *testing.T) {
 	s := twoEngineKinds()
 	s.CanGossip = true
@@ -15,21 +15,21 @@
 	a := newScenario(t, s, engines("a", "b", "c")...)
 	s.GatewayIndex = 1
 	b := newScenario(t, s, engines("a", "b", "c")...)
-	pass := func(actions []Action) {
+	deliver := func(actions []Action) {
 		t.Helper()
-		for _, x := range actions {
-			if x.Kind == Broadcast {
-				b.handle(Event{Kind: GossipReceived, Peer: 0, Message: x.Message})
+		for _, action := range actions {
+			if action.Kind == Broadcast {
+				b.handle(Event{Kind: GossipReceived, Peer: 0, Message: action.Message})
 				return
 			}
 		}
 		t.Error("nothing was broadcast")
 	}
-	at := 0
-	reads := func() (n int) {
+	count := 0
+	blockedReads := func() (n int) {
 		for range 12 {
-			at++
-			id := fmt.Sprint("r", at)
+			count++
+			id := fmt.Sprint("r", count)
 			b.handle(Event{Kind: RequestArrived, RequestID: id, Class: 0, DeadlineAtMS: b.nowMS + 2000,
 				WorkMS: 50, Dataset: 7})
 			if b.requests[id].attempts[0].engine == a.starts[0].Engine {
@@ -40,13 +40,13 @@
 		}
 		return n
 	}
-	pass(a.handle(Event{Kind: RequestArrived, RequestID: "load", Class: 2, DeadlineAtMS: a.nowMS + 5000,
+	deliver(a.handle(Event{Kind: RequestArrived, RequestID: "load", Class: 2, DeadlineAtMS: a.nowMS + 5000,
 		WorkMS: 50, Dataset: 7}))
-	if n := reads(); n != 0 {
-		t.Errorf("%d reads of 12 are blocked by the peer's load", n)
+	if n := blockedReads(); n != 0 {
+		t.Errorf("%d reads of 12 went to the engine of the peer's load", n)
 	}
-	pass(a.endAttempt("load", Served))
+	deliver(a.endAttempt("load", Served))
 	if b.gateway.runsLoad(b.gateway.engineByID[a.starts[0].Engine], 7) {
-		t.Error("a load that has ended still counts")
+		t.Error("a load still counts after the peer broadcast that it has ended")
 	}
 }
--- a/control/health.go
+++ b/control/health.go
@@ -6,39 +6,40 @@
 )
 
 const (
-	slowBelowSpeed  = 0.6    // against the median engine
-	minSpeedSamples = 5      // dashboards of an engine by which it is judged
-	minSpeedEngines = 3      // that must be known for a median
-	speedDecayMS    = 3000.0 // in which a judgement without new responses fades
-	failuresToEject = 2      // in a row, or unresponsive dashboards at once
-	minEjectionMS   = 500.0  // at first, doubling with each failed recovery probe
+	slowBelowSpeed  = 0.6    // an engine is slow up to this fraction of the median engine's speed
+	minSpeedSamples = 5      // dashboards that an engine must have answered before its speed counts
+	minSpeedEngines = 3      // engines with enough samples that a median needs
+	speedDecayMS    = 3000.0 // time constant with which a low speed without new samples decays
+	failuresToEject = 2      // consecutive failures, or unresponsive dashboards in one sweep
+	minEjectionMS   = 500.0  // first ejection; doubles with each failed recovery probe
 	maxEjectionMS   = 5000.0
 
-	// A dashboard in flight is doubted after this part of its objective and this many
-	// times its work, and after timeoutLatencyMultiple times the average dashboard latency.
+	// A dashboard in flight times out after timeoutObjectiveFraction of its objective
+	// plus timeoutWorkMultiple times its work, but not before timeoutLatencyMultiple
+	// times the average dashboard latency.
 	timeoutObjectiveFraction = 0.5
 	timeoutWorkMultiple      = 2.0
 	timeoutLatencyMultiple   = 4.0
 )
 
-// engineHealth is how an engine answers.
+// engineHealth is the recent latency and failures of an engine.
 type engineHealth struct {
 	latencyMS         runningMean // of dashboards
-	workMS            runningMean // of the same
-	lastActivityAtMS  float64     // last sign of life
-	lastDashboardAtMS float64     // last outcome of a dashboard
+	workMS            runningMean // of the same dashboards
+	lastActivityAtMS  float64     // last message from the engine
+	lastDashboardAtMS float64     // last sample in latencyMS
 
 	consecutiveFailures    int
 	lastFailureAtMS        float64
-	unresponsiveDashboards int     // in flight without a sign of life, in this sweep
-	relativeSpeed          float64 // against the other engines, at most 1, by the last sweep
+	unresponsiveDashboards int     // timed-out dashboards on an unresponsive engine, in this sweep
+	relativeSpeed          float64 // relative to the median engine, at most 1, by the last sweep
 
 	ejected        bool // until it passes a recovery probe
 	ejectedUntilMS float64
-	ejections      int // since it last was well
+	ejections      int // since a request last succeeded while the engine was not ejected
 }
 
-// reset forgets what was learned of a process that has been replaced.
+// reset discards what was measured on an engine process that has been replaced.
 func (h *engineHealth) reset() {
 	h.consecutiveFailures = 0
 	h.ejections = 0
@@ -48,14 +49,14 @@
 	h.workMS = runningMean{}
 }
 
-// hasEnoughSamples reports whether enough dashboards were answered to judge the speed.
+// hasEnoughSamples reports whether enough dashboards were answered to compute a speed.
 func (h *engineHealth) hasEnoughSamples() bool {
 	return h.latencyMS.count >= minSpeedSamples && h.workMS.value > 0
 }
 
-// updateRelativeSpeeds judges each engine's speed against the median: 1 unless it
-// is slow. When all are slow, none is. It finds slow engines and noisy neighbors
-// that the endpoint list knows nothing of.
+// updateRelativeSpeeds sets each engine's speed relative to the median engine: 1 unless
+// the engine is slow. When all engines are similarly slow, none counts as slow. It
+// detects slow engines and noisy neighbors, which the endpoint list does not show.
 func (g *Gateway) updateRelativeSpeeds() {
 	ratios := g.latencyRatios[:0]
 	for _, e := range g.engines {
@@ -76,17 +77,18 @@
 		}
 		speed := median * e.health.workMS.value / e.health.latencyMS.value
 		if speed <= slowBelowSpeed {
-			fading := math.Exp(-max(0, g.nowMS-e.health.lastDashboardAtMS) / speedDecayMS)
-			e.health.relativeSpeed = 1 - (1-speed)*fading
+			weight := math.Exp(-max(0, g.nowMS-e.health.lastDashboardAtMS) / speedDecayMS)
+			e.health.relativeSpeed = 1 - (1-speed)*weight
 		}
 	}
 }
 
-// isEjected reports whether the engine gets nothing because of its failures. When
-// most engines are ejected none is: then the fault is elsewhere.
+// isEjected reports whether the engine gets no requests because of its failures. When
+// most engines are ejected, none is treated as ejected: the fault is elsewhere then.
 func (g *Gateway) isEjected(e *engine) bool { return e.health.ejected && g.ejectionBalance <= 0 }
 
-// eject ejects an engine for a time, or for a longer one if it was ejected before.
+// eject ejects an engine, unless an ejection is still running. Each repeated ejection
+// lasts twice as long, up to maxEjectionMS.
 func (g *Gateway) eject(e *engine, cause EjectionCause) {
 	h := &e.health
 	if h.ejected && g.nowMS < h.ejectedUntilMS {
@@ -99,7 +101,7 @@
 	g.log(EngineEjected{Engine: e.ID, DurationMS: h.ejectedUntilMS - g.nowMS, Cause: cause})
 }
 
-// recordOutcome records the end of an attempt or a probe for its engine.
+// recordOutcome updates an engine's health by the outcome of an attempt or a probe.
 func (g *Gateway) recordOutcome(e *engine, result Result) {
 	h := &e.health
 	switch result {
@@ -110,7 +112,7 @@
 	case Rejected, ConnectFailed, Reset:
 		h.lastActivityAtMS = g.nowMS
 		g.recordFailure(e)
-	case Errored: // judged once another engine has served the request
+	case Errored: // counts as a failure once another engine has served the request
 		h.lastActivityAtMS = g.nowMS
 		return
 	case TimedOut, Cancelled, NotSent:
@@ -121,7 +123,8 @@
 	}
 }
 
-// recordSuccess ends an ejection, or forgets the earlier ones.
+// recordSuccess ends an ejection. If the engine is not ejected, it resets the count of
+// ejections, so that the next one is short.
 func (g *Gateway) recordSuccess(e *engine) {
 	if !e.health.ejected {
 		e.health.ejections = 0
@@ -132,8 +135,8 @@
 	g.log(EngineRecovered{Engine: e.ID})
 }
 
-// recordFailure counts a failure. A connection that breaks ends all attempts on
-// it: these are one failure.
+// recordFailure counts a failure. Failures within one tick count as one, as a broken
+// connection ends all attempts on it at once.
 func (g *Gateway) recordFailure(e *engine) {
 	h := &e.health
 	if g.nowMS > h.lastFailureAtMS+g.settings.TickMS {
@@ -145,14 +148,16 @@
 	}
 }
 
-// isUnresponsive reports whether an engine has given no sign of life since an
-// attempt started, and this gateway was there to see one.
+// isUnresponsive reports whether nothing was received from the engine since the attempt
+// started. In the event that reveals a pause of this gateway it returns false, as messages
+// may be unread.
 func (g *Gateway) isUnresponsive(a *attempt) bool {
 	return !g.wasPaused() && a.engine.health.lastActivityAtMS < a.startedAtMS
 }
 
-// dashboardTimeoutMS is how long a dashboard may be in flight undoubted. It grows
-// when all engines are slow, as retries would amplify the load then.
+// dashboardTimeoutMS returns how long a dashboard may be in flight before it may be
+// retried or count against its engine. It grows when all engines are slow, as retries
+// would amplify the overload then.
 func (g *Gateway) dashboardTimeoutMS(r *request) float64 {
 	return max(timeoutObjectiveFraction*r.class.LatencyObjectiveMS+timeoutWorkMultiple*g.workMS(r),
 		timeoutLatencyMultiple*g.estimates.dashboardLatencyMS.value)
--- a/control/health_test.go
+++ b/control/health_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// A hung engine is ejected, its dashboards are retried elsewhere, and it recovers
-// after one that is answered.
+// An engine that does not answer is ejected and its dashboards are cancelled, to be retried
+// elsewhere. It recovers when a later dashboard, as a recovery probe, is answered.
 func TestUnresponsiveEngineIsEjected(t *testing.T) {
 	tr := newScenario(t, oneGateway(), engines("a", "b", "c", "d")...)
-	answer := func() {
-		for _, b := range tr.order {
-			for i, x := range b.attempts {
-				if x.endedAtMS == 0 && x.engine != "a" && tr.nowMS-x.startedAtMS >= 100 {
-					tr.handle(Event{Kind: AttemptEnded, RequestID: b.id, Attempt: i, Engine: x.engine,
+	serveOthers := func() {
+		for _, r := range tr.requestList {
+			for i, attempt := range r.attempts {
+				if attempt.endedAtMS == 0 && attempt.engine != "a" && tr.nowMS-attempt.startedAtMS >= 100 {
+					tr.handle(Event{Kind: AttemptEnded, RequestID: r.id, Attempt: i, Engine: attempt.engine,
 						Result: Served, RequestDone: true, ElapsedMS: 100})
 				}
 			}
@@ -23,22 +23,22 @@
 	for i := range 80 {
 		tr.arrive(fmt.Sprint(i), 0, 50, 2000)
 		tr.advance(25)
-		answer()
+		serveOthers()
 	}
 	if e := tr.gateway.engineByID["a"]; !e.health.ejected {
 		t.Error("the unresponsive engine is not ejected")
 	}
 	if countActions(tr.actions, CancelAttempt) == 0 {
-		t.Error("nothing was cancelled there")
+		t.Error("no attempt on the unresponsive engine was cancelled")
 	}
 	if n := tr.gateway.engineByID["a"].load.dashboardThreads; n > 8 {
-		t.Errorf("%d dashboards at the unresponsive engine", n)
+		t.Errorf("%d dashboards in flight on the unresponsive engine, at most 8 allowed", n)
 	}
-	for _, b := range tr.order {
-		for i, x := range b.attempts {
-			if x.endedAtMS == 0 {
-				tr.handle(Event{Kind: AttemptEnded, RequestID: b.id, Attempt: i, Engine: x.engine,
-					Result: Cancelled, ElapsedMS: 300, RequestDone: b.closedAtMS != 0})
+	for _, r := range tr.requestList {
+		for i, attempt := range r.attempts {
+			if attempt.endedAtMS == 0 {
+				tr.handle(Event{Kind: AttemptEnded, RequestID: r.id, Attempt: i, Engine: attempt.engine,
+					Result: Cancelled, ElapsedMS: 300, RequestDone: r.closedAtMS != 0})
 			}
 		}
 	}
@@ -54,9 +54,9 @@
 	}
 }
 
-// A client that sends what no engine can run gets its error from a second engine,
-// and has no engine ejected; an engine that fails what another serves is ejected,
-// and a connection that ends many attempts is one failure.
+// A request that fails on every engine gets its error after a second attempt, and no engine
+// is ejected for it. An engine that fails requests which another engine then serves is
+// ejected. A lost connection that ends many attempts counts as one failure.
 func TestErrorsCountAgainstTheirCause(t *testing.T) {
 	tr := newScenario(t, oneGateway(), engines("a", "b", "c")...)
 	ejected := func() (n int) {
@@ -74,24 +74,25 @@
 			tr.endAttempt(id, Errored)
 		}
 		if n := len(tr.requests[id].attempts); n > 2 {
-			t.Errorf("%s was sent %d times", id, n)
+			t.Errorf("%s had %d attempts, at most 2 allowed", id, n)
 		}
 		tr.advance(100)
 	}
 	if len(tr.finals) != 20 || ejected() != 0 {
-		t.Errorf("%d answers, %d engines ejected; want 20, 0", len(tr.finals), ejected())
+		t.Errorf("%d final responses, %d engines ejected; want 20, 0", len(tr.finals), ejected())
 	}
 	tr.advance(retryWindowMS)
 	for i := range 9 {
 		tr.arrive(fmt.Sprint("r", i), 0, 50, 2000)
 	}
-	for i := range 9 { // all that is in flight at one engine
+	for i := range 9 { // end all attempts in flight on one engine
 		if id := fmt.Sprint("r", i); tr.requests[id].attempts[0].engine == "a" {
 			tr.endAttempt(id, Reset)
 		}
 	}
 	if e := tr.gateway.engineByID["a"]; e.health.ejected || e.health.consecutiveFailures != 1 {
-		t.Errorf("one lost connection counts as %d failures", e.health.consecutiveFailures)
+		t.Errorf("one lost connection: %d failures, ejected %v; want 1, false",
+			e.health.consecutiveFailures, e.health.ejected)
 	}
 	for i := range 9 {
 		tr.endAttempt(fmt.Sprint("r", i), Served)
@@ -106,11 +107,11 @@
 		tr.endAttempt(id, Served)
 	}
 	if !tr.gateway.engineByID["b"].health.ejected {
-		t.Error("an engine that fails what others serve is not ejected")
+		t.Error("an engine that fails requests which others serve is not ejected")
 	}
 }
 
-// When most engines fail, the fault is elsewhere: none is treated as ejected.
+// When most engines are ejected, the fault is elsewhere, and none is treated as ejected.
 func TestNoEngineIsEjectedWhenMostFail(t *testing.T) {
 	tr := newScenario(t, oneGateway(), engines("a", "b", "c")...)
 	for _, e := range tr.gateway.engines {
@@ -118,16 +119,19 @@
 	}
 	tr.arrive("r", 0, 50, 2000)
 	if len(tr.starts) != 1 {
-		t.Error("a dashboard found no engine")
+		t.Error("a dashboard was not started on any engine")
 	}
 }
 
-// An engine is slow by comparison with the others; when all are slow, none is.
+// An engine is slow relative to the others; when all engines are slow, none counts as slow.
 func TestSpeedIsRelative(t *testing.T) {
 	for name, c := range map[string]struct {
 		latency [4]float64
 		slow    bool
-	}{"one slow": {[4]float64{800, 100, 120, 90}, true}, "all slow": {[4]float64{800, 900, 850, 700}, false}} {
+	}{
+		"one slow": {[4]float64{800, 100, 120, 90}, true},
+		"all slow": {[4]float64{800, 900, 850, 700}, false},
+	} {
 		tr := newScenario(t, oneGateway(), engines("a", "b", "c", "d")...)
 		for i, e := range tr.gateway.engines {
 			e.health.lastDashboardAtMS = tr.nowMS
@@ -138,43 +142,45 @@
 		}
 		tr.gateway.updateRelativeSpeeds()
 		if got := tr.gateway.engineByID["a"].health.relativeSpeed < slowBelowSpeed; got != c.slow {
-			t.Errorf("%s: slow is %v", name, got)
+			t.Errorf("%s: first engine is slow: %v, want %v", name, got, c.slow)
 		}
 	}
 }
 
-// A gateway that was paused must not take its own pause for slow or unresponsive engines.
+// After a pause of the gateway's process, engines must not be treated as slow or
+// unresponsive, and no attempt is cancelled.
 func TestOwnPauseDoesNotCountAgainstEngines(t *testing.T) {
 	tr := newScenario(t, oneGateway(), engines("a", "b", "c")...)
 	for i := range 6 {
 		tr.arrive(fmt.Sprint(i), 0, 50, 4000)
 	}
-	tr.nowMS += 2000 // no sweep in all that time
+	tr.nowMS += 2000 // without any sweep
 	tr.timers = tr.timers[:0]
 	tr.handle(Event{Kind: TimerFired, Timer: SweepTimer})
 	for i := range 6 {
 		tr.endAttempt(fmt.Sprint(i), Served)
 	}
 	if countActions(tr.actions, CancelAttempt) != 0 || tr.gateway.estimates.dashboardLatencyMS.count != 0 {
-		t.Errorf("%d cancelled, %v latencies recorded in a pause; want none",
+		t.Errorf("%d attempts cancelled, %v latencies recorded after a pause; want none",
 			countActions(tr.actions, CancelAttempt), tr.gateway.estimates.dashboardLatencyMS.count)
 	}
 	for _, e := range tr.gateway.engines {
 		if e.health.ejected {
-			t.Errorf("%s ejected for a pause of the gateway", e.ID)
+			t.Errorf("%s was ejected because of a pause of the gateway", e.ID)
 		}
 	}
 }
 
-// What is blocked by a load of its data set shows what that load does: it moves neither
-// the thread limit nor the engine's speed, and has no engine ejected.
+// The latency of a read that is blocked by a load of its data set reflects the load and not
+// the engine: it changes neither the thread limit nor the engine's speed, and ejects no
+// engine. Reads of a data set without a load do change them.
 func TestBlockedReadsDoNotJudgeTheirEngine(t *testing.T) {
-	for _, behind := range []bool{true, false} {
+	for _, blocked := range []bool{true, false} {
 		s := twoEngineKinds()
 		s.CanGossip = true
 		tr := newScenario(t, s, engines("a", "b", "c")...)
 		dataset := uint32(9)
-		if behind {
+		if blocked {
 			dataset = 7
 		}
 		before := map[string]float64{}
@@ -195,14 +201,14 @@
 				tr.endAttempt(id, Served)
 			}
 		}
-		moved := 0
+		changed := 0
 		for _, e := range tr.gateway.engines {
 			if e.limit.errorSumMS < before[e.ID] || e.health.latencyMS.count > 0 || e.health.ejected {
-				moved++
+				changed++
 			}
 		}
-		if behind && moved != 0 || !behind && moved == 0 {
-			t.Errorf("blocked %v: %d engines judged", behind, moved)
+		if blocked && changed != 0 || !blocked && changed == 0 {
+			t.Errorf("reads blocked: %v; the state of %d engines changed", blocked, changed)
 		}
 	}
 }
--- a/control/loadreport.go
+++ b/control/loadreport.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	fullThreadsPerCore = 1.3   // past it an engine does less in all
-	fullMemoryFraction = 0.8   // at which an engine is full, as more is on its way
-	probeIntervalMS    = 400.0 // between probes while work is queued for want of a fresh report
-	enginesPerProbe    = 2
+	fullThreadsPerCore = 1.3   // above it the total throughput of an engine decreases
+	fullMemoryFraction = 0.8   // memory use at which an engine counts as full, as running work will use more
+	probeIntervalMS    = 400.0 // between rounds of probes while work is queued for lack of a fresh report
+	enginesPerProbe    = 2     // engines probed in a round
 )
 
-// valid reports whether all values of a report are numbers.
+// valid reports whether all values of a report are finite numbers.
 func (l *LoadReport) valid() bool {
 	sum := l.InFlight + l.Queued + l.BusyFraction + l.MemoryFraction + l.DiskFraction
 	return !math.IsNaN(sum) && !math.IsInf(sum, 0)
 }
 
-// recordLoadReport takes a load report in: the engine is as full as the scarcest
-// resource that it names. Reports that are absent or no numbers change nothing.
+// recordLoadReport updates the load of an engine from a load report, by the resource
+// that is used most. A report that is nil or not valid has no effect.
 func (g *Gateway) recordLoadReport(e *engine, report *LoadReport) {
 	if report == nil || !report.valid() {
 		return
@@ -45,8 +45,8 @@
 	}
 }
 
-// probeForHeadroom probes a few engines, drawn at random, that a queued request
-// might go to: its preferred ones at first, then any.
+// probeForHeadroom probes a few random engines that could run a queued request: its
+// preferred engines during the first probe interval after its arrival, then all.
 func (g *Gateway) probeForHeadroom(r *request) {
 	if g.nowMS < g.nextProbeAtMS {
 		return
--- a/control/logentry.go
+++ b/control/logentry.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// LogEntry is one line for the log. Its String method gives the line's text.
+// LogEntry is one log line. Its String method returns the text of the line.
 type LogEntry interface {
 	fmt.Stringer
 	logEntry()
@@ -11,7 +11,7 @@
 // EngineEjected is logged when an engine is ejected.
 type EngineEjected struct {
 	Engine     string
-	DurationMS float64 // until a recovery probe may go there
+	DurationMS float64 // until a request may be sent to the engine as a recovery probe
 	Cause      EjectionCause
 }
 
@@ -20,13 +20,13 @@
 	Engine string
 }
 
-// EjectionCause says why an engine was ejected.
+// EjectionCause is the reason why an engine was ejected.
 type EjectionCause int
 
 // The causes of an ejection.
 const (
 	ConsecutiveFailures EjectionCause = iota
-	UnresponsiveEngine                // dashboard queries there got no sign of life
+	UnresponsiveEngine                // nothing was received from it while dashboards were in flight
 	FailedRecoveryProbe
 )
 
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("engine %s recovered", e.Engine)
 }
 
-// String returns the cause in words.
+// String returns the cause as it is logged.
 func (c EjectionCause) String() string {
 	switch c {
 	case ConsecutiveFailures:
--- a/control/logentry_test.go
+++ b/control/logentry_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// Operators search the log for these texts.
 func TestLogEntryTexts(t *testing.T) {
 	for _, c := range []struct {
 		entry LogEntry
@@ -14,7 +15,7 @@
 		{EngineRecovered{"a"}, "engine a recovered"},
 	} {
 		if got := c.entry.String(); got != c.want {
-			t.Errorf("%#v is %q, want %q", c.entry, got, c.want)
+			t.Errorf("text of %#v is %q, want %q", c.entry, got, c.want)
 		}
 	}
 }
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// Random events never make a gateway break a rule of ruleChecker, under several settings.
 func TestRulesOnRandomEvents(t *testing.T) {
 	zones := twoEngineKinds()
 	zones.Classes[1].Idempotency = NotIdempotent
@@ -28,7 +29,7 @@
 	hedging.GatewayCount = 5
 	hedging.Tenants = []Tenant{{10}, {20}}
 
-	bare := Settings{
+	minimal := Settings{
 		GatewayCount: 1, TickMS: 10, ResponseGraceMS: 20, DrainGraceMS: 100, PollsEndpointList: true,
 		EngineKinds: []EngineKind{{4, 0}, {4, 0}},
 		Classes: []Class{
@@ -48,29 +49,30 @@
 	many.CanPrioritize = true
 
 	for name, s := range map[string]Settings{
-		"plain": twoEngineKinds(), "zones": zones, "hedging": hedging, "bare": bare, "many gateways": many,
+		"plain": twoEngineKinds(), "zones": zones, "hedging": hedging, "minimal": minimal,
+		"many gateways": many,
 	} {
 		t.Run(name, func(t *testing.T) {
-			minStarts := 300 / min(5, max(1, s.GatewayCount/10)) // one of many gateways gets few requests
+			minStarts := 300 / min(5, max(1, s.GatewayCount/10)) // one of many gateways starts few attempts
 			for seed := range uint64(20) {
 				if starts := runRandomEvents(t, s, seed); starts < minStarts {
-					t.Fatalf("seed %d: only %d attempts", seed, starts)
+					t.Fatalf("seed %d: %d attempts started, want at least %d", seed, starts, minStarts)
 				}
 			}
 		})
 	}
 }
 
-// randomEvents feeds a scenario with random legal events.
+// randomEvents passes random events to a scenario.
 type randomEvents struct {
 	*scenario
 	rng     *rand.Rand
 	engines []EngineInfo
-	probed  int // actions whose probes were answered
+	probed  int // number of actions in which answerProbes has looked for probes
 }
 
-// runRandomEvents feeds random legal events and returns how many attempts they
-// started.
+// runRandomEvents passes random events to a gateway and returns the number of attempts
+// that the gateway started.
 func runRandomEvents(t *testing.T, s Settings, seed uint64) int {
 	list := make([]EngineInfo, 6)
 	for i := range list {
@@ -88,19 +90,19 @@
 		case k == 17:
 			r.endpoints()
 		case k == 18:
-			if last := r.order[len(r.order)-min(len(r.order), 5):]; len(last) > 0 {
+			if last := r.requestList[len(r.requestList)-min(len(r.requestList), 5):]; len(last) > 0 {
 				r.handle(Event{Kind: RequestAbandoned, RequestID: last[0].id})
 			}
 		default:
-			r.oddEvents()
+			r.invalidEvents()
 		}
 	}
 	r.advance(6000)
 	return len(r.starts)
 }
 
-// answerProbes answers the probes since the last call, some with a failure and some
-// with a malformed report.
+// answerProbes answers the probes since the last call, some of them with a failure or an
+// invalid report.
 func (r *randomEvents) answerProbes() {
 	r.t.Helper()
 	for ; r.probed < len(r.actions); r.probed++ {
@@ -121,6 +123,7 @@
 	}
 }
 
+// arrival passes a new request.
 func (r *randomEvents) arrival(id string) {
 	r.t.Helper()
 	worksMS := []float64{100, 1600, 1200}
@@ -136,27 +139,29 @@
 	r.handle(ev)
 }
 
-// outcome ends an attempt in flight, and says so twice: the second time must change
-// nothing.
+// outcome ends an attempt in flight. It passes the event twice; the second event must have
+// no effect.
 func (r *randomEvents) outcome() {
 	r.t.Helper()
 	inFlight := func(a trackedAttempt) bool { return a.endedAtMS == 0 }
 	var candidates []*trackedRequest
-	for _, b := range r.order[max(0, len(r.order)-60):] {
-		if slices.ContainsFunc(b.attempts, inFlight) {
-			candidates = append(candidates, b)
+	for _, recent := range r.requestList[max(0, len(r.requestList)-60):] {
+		if slices.ContainsFunc(recent.attempts, inFlight) {
+			candidates = append(candidates, recent)
 		}
 	}
 	if len(candidates) == 0 {
 		return
 	}
-	b := candidates[r.rng.IntN(len(candidates))]
-	n := slices.IndexFunc(b.attempts, inFlight)
+	request := candidates[r.rng.IntN(len(candidates))]
+	index := slices.IndexFunc(request.attempts, inFlight)
+	attempt := request.attempts[index]
 	results := []Result{Served, Served, Served, Served, Served, Served, Errored, Rejected, TimedOut,
 		ConnectFailed, Reset, Cancelled}
 	result := results[r.rng.IntN(len(results))]
-	ev := Event{Kind: AttemptEnded, RequestID: b.id, Attempt: n, Engine: b.attempts[n].engine, Result: result,
-		ElapsedMS: r.nowMS - b.attempts[n].startedAtMS, RequestDone: b.closedAtMS != 0 || result == Served}
+	ev := Event{Kind: AttemptEnded, RequestID: request.id, Attempt: index, Engine: attempt.engine,
+		Result: result, ElapsedMS: r.nowMS - attempt.startedAtMS,
+		RequestDone: request.closedAtMS != 0 || result == Served}
 	if r.rng.IntN(3) == 0 {
 		ev.LoadReport = &LoadReport{InFlight: 3, Queued: 0, BusyFraction: r.rng.Float64(),
 			MemoryFraction: r.rng.Float64(), DiskFraction: -1}
@@ -165,7 +170,8 @@
 	r.handle(ev)
 }
 
-// endpoints changes an engine, and sometimes lists none and then all again.
+// endpoints passes an update of one engine, and sometimes an empty snapshot followed by a
+// complete one.
 func (r *randomEvents) endpoints() {
 	r.t.Helper()
 	e := &r.engines[r.rng.IntN(len(r.engines))]
@@ -185,16 +191,18 @@
 	}
 }
 
-// oddEvents hands over malformed messages, and events of what is unknown.
-func (r *randomEvents) oddEvents() {
+// invalidEvents passes malformed messages, and events of unknown engines, attempts, timers
+// and requests.
+func (r *randomEvents) invalidEvents() {
 	r.t.Helper()
 	r.handle(Event{Kind: EndpointListFailed})
 	r.handle(Event{Kind: GossipReceived, Peer: 1, Message: []byte{70, 0, 0, 0}})
 	r.handle(Event{Kind: GossipReceived, Peer: -1, Message: []byte{0x7f, 0xc0, 0, 0}})
 	r.handle(Event{Kind: GossipReceived, Peer: 1 << 40, Message: []byte{0xff, 0x80, 0, 0, 1}})
 	r.handle(Event{Kind: ProbeEnded, Engine: "unknown", LoadReport: &LoadReport{}})
-	r.handle(Event{Kind: EndpointUpdate, Engines: []EngineInfo{{ID: "odd", Kind: -3, Zone: 9, Removed: true}}})
-	if last := r.order[max(0, len(r.order)-3):]; len(last) > 0 {
+	r.handle(Event{Kind: EndpointUpdate,
+		Engines: []EngineInfo{{ID: "invalid", Kind: -3, Zone: 9, Removed: true}}})
+	if last := r.requestList[max(0, len(r.requestList)-3):]; len(last) > 0 {
 		r.handle(Event{Kind: AttemptProgress, RequestID: last[0].id, Attempt: r.rng.IntN(3) - 1,
 			Progress: r.rng.Float64()})
 		r.handle(Event{Kind: AttemptBlocked, RequestID: last[0].id, Attempt: 99, BlockedOn: BlockedOnMemory})
--- a/control/scenario_test.go
+++ b/control/scenario_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// oneGateway returns the settings of a single gateway: engines of 8 cores, a
-// dashboard class, a report class and an ordered load.
+// oneGateway returns the settings of a single gateway with engines of 8 cores (kind 0), a
+// dashboard class, a report class and a class of ordered loads, none of them restricted to
+// a kind of engine.
 func oneGateway() Settings {
 	s := twoEngineKinds()
 	s.GatewayCount = 1
@@ -15,8 +16,8 @@
 	return s
 }
 
-// twoEngineKinds returns settings with a dashboard class, a report class that is
-// restricted to one kind of engine, and an ordered load.
+// twoEngineKinds returns settings with engines of 8 and 16 cores, a dashboard class, a
+// report class that is restricted to the smaller engines, and a class of ordered loads.
 func twoEngineKinds() Settings {
 	return Settings{
 		GatewayCount: 2, TickMS: 5, ResponseGraceMS: 20, DrainGraceMS: 500, MaxAttempts: 4, CanCancel: true,
@@ -34,8 +35,8 @@
 	}
 }
 
-// manyGateways returns the settings of many gateways on few engines, whose load
-// reports come by probes.
+// manyGateways returns the settings of one of 60 gateways, with load reports in probes, so
+// that engines share a thread limit.
 func manyGateways() Settings {
 	s := oneGateway()
 	s.GatewayCount = 60
@@ -45,6 +46,7 @@
 	return s
 }
 
+// engines returns entries of the endpoint list with these IDs, otherwise zero.
 func engines(ids ...string) (list []EngineInfo) {
 	for _, id := range ids {
 		list = append(list, EngineInfo{ID: id})
@@ -52,15 +54,15 @@
 	return list
 }
 
-// scenario is a gateway under a rule checker.
+// scenario is a gateway whose actions a ruleChecker checks, with a simulated clock.
 type scenario struct {
 	*ruleChecker
 	gateway *Gateway
 	nowMS   float64
-	timers  []float64
-	starts  []Action // all so far
-	finals  []Action
-	actions []Action
+	timers  []float64 // due times of sweeps
+	starts  []Action  // all StartAttempt actions so far
+	finals  []Action  // all RejectRequest and FailRequest actions so far
+	actions []Action  // all actions so far
 }
 
 func newScenario(t *testing.T, s Settings, engines ...EngineInfo) *scenario {
@@ -69,7 +71,7 @@
 	return tr
 }
 
-// handle hands over an event and checks the actions, which it returns.
+// handle passes an event to the gateway, checks the actions and returns them.
 func (tr *scenario) handle(ev Event) []Action {
 	tr.t.Helper()
 	tr.observe(tr.nowMS, ev)
@@ -92,7 +94,7 @@
 	return actions
 }
 
-// advance lets time pass, with the sweeps that are due.
+// advance advances the clock and runs the sweeps that become due.
 func (tr *scenario) advance(ms float64) {
 	tr.t.Helper()
 	for end := tr.nowMS + ms; ; {
@@ -105,35 +107,36 @@
 	}
 }
 
-// arrive hands over a request with a deadline so many milliseconds ahead.
-func (tr *scenario) arrive(id string, class int, work, ms float64) []Action {
+// arrive passes a new request whose deadline is timeoutMS ahead.
+func (tr *scenario) arrive(id string, class int, workMS, timeoutMS float64) []Action {
 	tr.t.Helper()
-	return tr.handle(Event{Kind: RequestArrived, RequestID: id, Class: class, DeadlineAtMS: tr.nowMS + ms,
-		WorkMS: work, Key: "k"})
+	return tr.handle(Event{Kind: RequestArrived, RequestID: id, Class: class,
+		DeadlineAtMS: tr.nowMS + timeoutMS, WorkMS: workMS, Key: "k"})
 }
 
-// endAttempt hands over the outcome of a request's last attempt.
-func (tr *scenario) endAttempt(id string, res Result) []Action {
+// endAttempt passes the outcome of a request's last attempt.
+func (tr *scenario) endAttempt(id string, result Result) []Action {
 	tr.t.Helper()
-	b := tr.requests[id]
-	i := len(b.attempts) - 1
-	return tr.handle(Event{Kind: AttemptEnded, RequestID: id, Attempt: i, Engine: b.attempts[i].engine, Result: res,
-		ElapsedMS: tr.nowMS - b.attempts[i].startedAtMS, RequestDone: res == Served})
+	attempts := tr.requests[id].attempts
+	last := len(attempts) - 1
+	return tr.handle(Event{Kind: AttemptEnded, RequestID: id, Attempt: last, Engine: attempts[last].engine,
+		Result: result, ElapsedMS: tr.nowMS - attempts[last].startedAtMS, RequestDone: result == Served})
 }
 
-// answerProbes hands over a load report of each engine that the actions probe, and
-// returns the actions that follow.
-func (tr *scenario) answerProbes(actions []Action, rep LoadReport) (sent []Action) {
+// answerProbes answers each probe among the actions with a load report, and returns the
+// actions that this causes.
+func (tr *scenario) answerProbes(actions []Action, report LoadReport) (caused []Action) {
 	tr.t.Helper()
 	for _, a := range actions {
 		if a.Kind == ProbeEngine {
-			sent = append(sent, tr.handle(Event{Kind: ProbeEnded, Engine: a.Engine, LoadReport: &rep})...)
+			ev := Event{Kind: ProbeEnded, Engine: a.Engine, LoadReport: &report}
+			caused = append(caused, tr.handle(ev)...)
 		}
 	}
-	return sent
+	return caused
 }
 
-// startedOrder lists the requests of the attempts, in order.
+// startedOrder returns the request IDs of the StartAttempt actions, in order.
 func startedOrder(actions []Action) (ids []string) {
 	for _, a := range actions {
 		if a.Kind == StartAttempt {
@@ -143,6 +146,7 @@
 	return ids
 }
 
+// countActions returns the number of actions of a kind.
 func countActions(actions []Action, kind ActionKind) (k int) {
 	for _, a := range actions {
 		if a.Kind == kind {
@@ -152,7 +156,8 @@
 	return k
 }
 
-// demandMessage returns the message of a peer with so much secondary work.
-func demandMessage(work float32) []byte {
-	return binary.BigEndian.AppendUint32(nil, math.Float32bits(work))
+// demandMessage returns the message of a peer whose demand is workMS of secondary work and
+// no requests of tenants.
+func demandMessage(workMS float32) []byte {
+	return binary.BigEndian.AppendUint32(nil, math.Float32bits(workMS))
 }
