--- a/control/supervision.go
+++ b/control/supervision.go
@@ -118,7 +118,7 @@
 		return false
 	}
 	health := &a.engine.health
-	unresponsive := health.lastResponseAtMS < a.startedAtMS
+	unresponsive := health.lastActivityAtMS < a.startedAtMS
 	if unresponsive && g.isEjected(a.engine) && a.startedAtMS < health.ejectedUntilMS {
 		return true
 	}
