--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -63,7 +63,7 @@
 }
 
 // New returns a server that keeps at most maxIncomplete connections with an incomplete
-// request, and at least minIncomplete.
+// request. A limit below minIncomplete is raised to minIncomplete.
 func New(controller Controller, maxIncomplete int) *Server {
 	return &Server{controller: controller, maxIncomplete: max(minIncomplete, maxIncomplete)}
 }
--- a/internal/engineclient/connection.go
+++ b/internal/engineclient/connection.go
@@ -14,7 +14,7 @@
 
 const (
 	unresponsiveAfterMS = 500    // without a reply while one is outstanding
-	maxUnresponsive     = 4      // unresponsive connections to an engine at most; then one of them is used
+	maxUnresponsive     = 4      // unresponsive connections per engine before one of them is used
 	staleReplyWindowMS  = 10_000 // for which replies may still arrive for an id that has ended
 	deliveryDelayMS     = 10     // allowed for a command to reach its engine
 	commandQueueLength  = 512
--- a/internal/engineclient/pool_test.go
+++ b/internal/engineclient/pool_test.go
@@ -302,7 +302,7 @@
 	if start() != b {
 		t.Error("sent on an unresponsive connection")
 	}
-	p.handleReply(b, &reply{id: "nobody", kind: replyResult})
+	p.handleReply(b, &reply{id: "unknown", kind: replyResult})
 	if start() != b {
 		t.Error("an unresponsive connection was preferred, because it has more open requests")
 	}
