--- a/internal/adminapi/compat_test.go
+++ b/internal/adminapi/compat_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// recordingController answers requests and records the last change.
+// recordingController is a Controller that records the last change.
 type recordingController struct {
 	ready  bool
-	views  bool // of the fleet and of the state
+	views  bool // whether there are views of the fleet and the state
 	change string
 }
 
@@ -29,14 +29,14 @@
 	return []byte(text)
 }
 
-func (c *recordingController) SetEngineOverride(engine string, out bool) error {
+func (c *recordingController) SetEngineOverride(engine string, disabled bool) error {
 	switch engine {
 	case "never":
 		return errors.New("never listed")
 	case "few":
 		return &RefusalError{Status: 503, Body: []byte(`{"kept":1,"needed":2}`)}
 	}
-	c.change = fmt.Sprintf("engine %s out %v", engine, out)
+	c.change = fmt.Sprintf("engine %s out %v", engine, disabled)
 	return nil
 }
 
@@ -45,10 +45,11 @@
 	return nil
 }
 
-// TestCompatRequests holds the bytes that operators and their tools rely on. Each line
-// of the golden file is a case: its name, then quoted the request's bytes, the change
-// that it makes, and the response's bytes. Names with "busy" are of a front end that
-// takes no clients, names with "alone" of one without views.
+// TestCompatRequests checks requests and responses, on whose bytes operators and their
+// tools rely, against a golden file. Each line of the file is a case: its name, then as
+// quoted strings the request, the change that the request makes, and the response. In a
+// case whose name contains "busy" the front end accepts no clients; in one whose name
+// contains "alone" it has no views.
 func TestCompatRequests(t *testing.T) {
 	text, err := os.ReadFile("testdata/compat/calls.txt")
 	if err != nil {
@@ -56,11 +57,15 @@
 	}
 	for line := range strings.Lines(string(text)) {
 		parts := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
-		name, call, change, answer := parts[0], unquote(t, parts[1]), unquote(t, parts[2]), unquote(t, parts[3])
-		o := &recordingController{ready: !strings.Contains(name, "busy"), views: !strings.Contains(name, "alone")}
-		got := converse(t, o, call)
-		if got != answer || o.change != change {
-			t.Errorf("now\n%s\t%q\t%q\t%q", name, call, o.change, got)
+		name, requestText := parts[0], unquote(t, parts[1])
+		change, want := unquote(t, parts[2]), unquote(t, parts[3])
+		controller := &recordingController{
+			ready: !strings.Contains(name, "busy"),
+			views: !strings.Contains(name, "alone"),
+		}
+		got := roundTrip(t, controller, requestText)
+		if got != want || controller.change != change {
+			t.Errorf("not the golden line:\n%s\t%q\t%q\t%q", name, requestText, controller.change, got)
 		}
 	}
 }
@@ -74,16 +79,16 @@
 	return plain
 }
 
-// converse makes a call and returns the answer.
-func converse(t *testing.T, o *recordingController, call string) string {
+// roundTrip sends a request and returns the response.
+func roundTrip(t *testing.T, controller *recordingController, requestText string) string {
 	t.Helper()
-	here, there := net.Pipe()
-	defer func() { _ = here.Close() }()
-	go New(o, 2).serveConn(there)
-	go func() { _, _ = io.WriteString(here, call) }()
-	answer, err := io.ReadAll(here)
+	clientSide, serverSide := net.Pipe()
+	defer func() { _ = clientSide.Close() }()
+	go New(controller, 2).serveConn(serverSide)
+	go func() { _, _ = io.WriteString(clientSide, requestText) }()
+	text, err := io.ReadAll(clientSide)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(answer)
+	return string(text)
 }
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -13,7 +13,7 @@
 	"dewhill/internal/testprocess"
 )
 
-// fakeController records the changes it is asked for.
+// fakeController is a Controller that records the requested changes.
 type fakeController struct {
 	changes []string
 	noViews bool
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// requests are requests with what they lead to.
-var requests = []struct {
+// requestCases are requests with the expected status and changes.
+var requestCases = []struct {
 	text    string
 	status  int // 0: malformed
 	changes string
@@ -69,10 +69,11 @@
 	{"POST /control/engines/s-1/offline\r\n\r\n", 0, ""},
 }
 
-// TestRequests checks that requests mean the same in whatever pieces they arrive.
+// TestRequests checks the status and the changes of requests, however these are split
+// into segments.
 func TestRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		for _, c := range requests {
+		for _, c := range requestCases {
 			controller := &fakeController{}
 			got, err := readRequest(testprocess.NewChunkedConn(t, []byte(c.text)))
 			if errors.Is(err, errMalformedRequest) != (c.status == 0) {
@@ -81,31 +82,31 @@
 			if err != nil {
 				continue
 			}
-			answer := New(controller, 4).handle(got)
-			if answer.status != c.status || strings.Join(controller.changes, ", ") != c.changes {
-				t.Fatalf("%q: status %d, changes %q", c.text, answer.status, controller.changes)
+			resp := New(controller, 4).handle(got)
+			if resp.status != c.status || strings.Join(controller.changes, ", ") != c.changes {
+				t.Fatalf("%q: status %d, changes %q", c.text, resp.status, controller.changes)
 			}
 		}
 	})
 }
 
-// TestNoViews checks that without a view of the fleet and replicated state there
-// are no such paths, whatever the method.
+// TestNoViews checks that the paths of the fleet and the state are not found, with any
+// method, if the controller has no such views.
 func TestNoViews(t *testing.T) {
 	for _, call := range []string{"GET /control/fleet", "POST /control/fleet", "GET /control/state", "POST /control/state"} {
 		method, path, _ := strings.Cut(call, " ")
-		answer := New(&fakeController{noViews: true}, 4).handle(request{method: method, path: path})
-		if answer.status != 404 {
-			t.Errorf("%s: status %d", call, answer.status)
+		resp := New(&fakeController{noViews: true}, 4).handle(request{method: method, path: path})
+		if resp.status != 404 {
+			t.Errorf("%s: status %d", call, resp.status)
 		}
 	}
 }
 
-// TestMalformedRequests checks that malformed input is an error, or a request that
-// changes no more than it says.
+// TestMalformedRequests checks that malformed input leads to an error, or to a request
+// that changes something only if it is a POST to a path of the API.
 func TestMalformedRequests(t *testing.T) {
 	var texts []string
-	for _, c := range requests {
+	for _, c := range requestCases {
 		texts = append(texts, c.text)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -121,9 +122,9 @@
 	})
 }
 
-// TestSilentCallersAreClosed checks that at the limit of callers that send nothing
-// the oldest is closed, and the next one is answered.
-func TestSilentCallersAreClosed(t *testing.T) {
+// TestOldestIncompleteRequestIsClosed checks that when too many connections send nothing,
+// the oldest is closed and a request on a new connection is served.
+func TestOldestIncompleteRequestIsClosed(t *testing.T) {
 	server := New(&fakeController{}, 3)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -131,25 +132,25 @@
 	}
 	defer func() { _ = listener.Close() }()
 	go server.Serve(listener)
-	var callers []net.Conn
+	var conns []net.Conn
 	for k := range 4 {
-		caller, err := net.Dial("tcp", listener.Addr().String())
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = caller.Close() }()
-		callers = append(callers, caller)
+		defer func() { _ = conn.Close() }()
+		conns = append(conns, conn)
 		if k < 3 {
 			continue
 		}
-		if _, err := io.WriteString(caller, requests[0].text); err != nil {
+		if _, err := io.WriteString(conn, requestCases[0].text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if answer, err := io.ReadAll(callers[3]); err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 200 ") {
-		t.Errorf("%q, %v", answer, err)
+	if resp, err := io.ReadAll(conns[3]); err != nil || !strings.HasPrefix(string(resp), "HTTP/1.1 200 ") {
+		t.Errorf("response on the new connection: %q, %v", resp, err)
 	}
-	if n, err := callers[0].Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Errorf("the oldest caller: %d bytes, %v", n, err)
+	if n, err := conns[0].Read(make([]byte, 1)); n != 0 || err == nil {
+		t.Errorf("the oldest connection: %d bytes, %v", n, err)
 	}
 }
