--- a/internal/httpfront/accept_test.go
+++ b/internal/httpfront/accept_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// shortListener is a listener of a process that is out of descriptors for so many
+// failingListener is a listener of a process that is out of descriptors for so many
 // accepts, and is closed then.
-type shortListener struct {
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
-func (l *shortListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures == 0 {
 		return nil, net.ErrClosed
 	}
@@ -29,7 +29,7 @@
 		dial()
 	}
 	loop.now += evictableAfterMS + 1
-	server.Serve(&shortListener{failures: 2})
+	server.Serve(&failingListener{failures: 2})
 	if server.Counters.AcceptErrors != 2 || server.Counters.Evicted != 2 || len(server.connections) != 1 {
 		t.Errorf("%d accept errors, %d evicted, %d connections",
 			server.Counters.AcceptErrors, server.Counters.Evicted, len(server.connections))
--- a/internal/httpfront/compat_test.go
+++ b/internal/httpfront/compat_test.go
@@ -20,9 +20,9 @@
 	queries map[string]dispatch.Query
 }
 
-func (loop *recordingLoop) Submit(r dispatch.Request, work any, answer func(dispatch.Response, any)) error {
+func (loop *recordingLoop) Submit(r dispatch.Request, work any, respond func(dispatch.Response, any)) error {
 	loop.queries[r.ID] = work.(dispatch.Query)
-	return loop.fakeLoop.Submit(r, work, answer)
+	return loop.fakeLoop.Submit(r, work, respond)
 }
 
 func (loop *recordingLoop) CountersJSON() []byte { return []byte(`{"open":1}`) }
@@ -30,7 +30,7 @@
 // newRecordingServer returns a server, its event loop, and a connection to it.
 func newRecordingServer(tenants ...string) (*recordingLoop, *Server, *connection) {
 	loop := &recordingLoop{queries: map[string]dispatch.Query{}}
-	loop.fakeLoop = fakeLoop{now: 1000, answers: map[string]func(dispatch.Response, any){}, disconnected: map[string]bool{}}
+	loop.fakeLoop = fakeLoop{now: 1000, respond: map[string]func(dispatch.Response, any){}, disconnected: map[string]bool{}}
 	server := New(loop, Options{Classes: []ClassLimits{{Name: "lookup", MaxWorkMS: 1e6}, {Name: "change", MaxWorkMS: 1e6, RequiresIdempotencyKey: true}}, Tenants: tenants, MaxConnections: 10, RetryAfterMS: 500})
 	socket, _ := net.Pipe()
 	c := server.newConnection(socket)
@@ -99,10 +99,10 @@
 // TestCompatMessages holds messages that the server answers by itself. Each case is
 // a name, the message's bytes and the response's.
 func TestCompatMessages(t *testing.T) {
-	for _, one := range goldenCases(t, "calls.txt") {
-		name := one[0]
-		message := one[1]
-		want := one[2]
+	for _, testCase := range goldenCases(t, "calls.txt") {
+		name := testCase[0]
+		message := testCase[1]
+		want := testCase[2]
 		_, server, c := newRecordingServer()
 		server.SetDraining(strings.HasPrefix(name, "away"))
 		c.overLimit = strings.HasPrefix(name, "excess")
@@ -121,12 +121,12 @@
 // TestCompatRequest holds the fields of a request.
 func TestCompatRequest(t *testing.T) {
 	loop, server, c := newRecordingServer()
-	for _, one := range goldenCases(t, "requests.txt") {
-		if err := send(server, c, one[1]); err != nil {
-			t.Fatalf("%s: %v", one[0], err)
+	for _, testCase := range goldenCases(t, "requests.txt") {
+		if err := send(server, c, testCase[1]); err != nil {
+			t.Fatalf("%s: %v", testCase[0], err)
 		}
 		if text := nextResponse(t, c); text != "" {
-			t.Fatalf("%s: answered %q", one[0], text)
+			t.Fatalf("%s: answered %q", testCase[0], text)
 		}
 	}
 	want := dispatch.Request{
@@ -138,7 +138,7 @@
 		MemoryMB:     96,
 		Key:          "stock",
 	}
-	got := loop.taken["9b1f03aa5c7e2d41"]
+	got := loop.submitted["9b1f03aa5c7e2d41"]
 	want.Dataset = got.Dataset // of the statement, not of the protocol
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("submitted %+v, want %+v", got, want)
@@ -147,7 +147,7 @@
 		t.Errorf("query %q, want %q", got, want)
 	}
 	want = dispatch.Request{ID: "00000000000000aa", ArrivedAtMS: 1000, DeadlineAtMS: 1450}
-	got = loop.taken["00000000000000aa"]
+	got = loop.submitted["00000000000000aa"]
 	want.Dataset = got.Dataset
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("required fields only: submitted %+v, want %+v", got, want)
@@ -159,8 +159,8 @@
 func TestCompatResponses(t *testing.T) {
 	rows := [][]byte{[]byte("a\t1\t\nb\t\"2\"\t<é>\n"), []byte("c\t3\tx\n")}
 	outcomes := map[string]struct {
-		answer dispatch.Response
-		pages  [][]byte
+		response dispatch.Response
+		pages    [][]byte
 	}{
 		"served":            {dispatch.Response{Outcome: dispatch.Served}, rows},
 		"served, no rows":   {dispatch.Response{Outcome: dispatch.Served}, [][]byte{nil}},
@@ -171,8 +171,8 @@
 		"polled, then rows": {dispatch.Response{Outcome: dispatch.Served}, rows},
 	}
 	request := "POST /api/v2/lookup HTTP/1.1\r\nReq-Id: 00000000000000aa\r\nReq-Wait-Ms: 500\r\nContent-Length: 1\r\n\r\nx"
-	for _, one := range goldenCases(t, "answers.txt") {
-		name := one[0]
+	for _, testCase := range goldenCases(t, "answers.txt") {
+		name := testCase[0]
 		outcome, ok := outcomes[name]
 		if !ok {
 			t.Fatalf("no case %q", name)
@@ -194,9 +194,9 @@
 		if outcome.pages != nil {
 			result = outcome.pages
 		}
-		loop.answers["00000000000000aa"](outcome.answer, result)
+		loop.respond["00000000000000aa"](outcome.response, result)
 		got += nextResponse(t, c)
-		if got != one[1] {
+		if got != testCase[1] {
 			t.Errorf("now\n%s\t%q", name, got)
 		}
 	}
--- a/internal/httpfront/connection.go
+++ b/internal/httpfront/connection.go
@@ -38,18 +38,18 @@
 	socket     net.Conn
 	now        func() float64
 	responses  chan *response // closed by disconnect
-	answered   chan bool      // a token for each response written; true: it was the last
+	written    chan bool      // a token for each response written; true: it was the last
 	state      atomic.Int32
 	goroutines atomic.Int32 // that still use it: the last one frees its slot
 
 	// Of the event loop.
-	exchange     *exchange // that it waits for
-	pathExchange *exchange // whose path was last given on it
-	requestCount int
-	overLimit    bool
-	ending       bool // its last response is queued
-	closed       bool
-	pollDueMS    float64 // by when the client is to poll a path
+	exchange         *exchange // that it waits for
+	pollPathExchange *exchange // whose path was last given on it
+	requestCount     int
+	overLimit        bool
+	ending           bool // its last response is queued
+	closed           bool
+	pollDueMS        float64 // by when the client is to poll a path
 
 	// Of the reader.
 	awaitingResponse bool
@@ -75,7 +75,7 @@
 	c := &connection{
 		socket:    socket,
 		responses: make(chan *response, responseQueueLength),
-		answered:  make(chan bool, responseQueueLength),
+		written:   make(chan bool, responseQueueLength),
 		now:       s.loop.Now,
 	}
 	c.idleSinceMS.Store(int64(s.loop.Now()))
@@ -180,14 +180,14 @@
 	if ex := c.exchange; ex != nil {
 		ex.detach()
 		switch {
-		case ex.answered:
-		case ex.pathGiven:
+		case ex.completed:
+		case ex.pollPathSent:
 			s.clientDisconnected(ex)
 		default:
 			s.abandon(ex)
 		}
 	}
-	if ex := c.pathExchange; ex != nil && ex.pathConnection == c && !ex.answered {
+	if ex := c.pollPathExchange; ex != nil && ex.pollPathConnection == c && !ex.completed {
 		s.clientDisconnected(ex)
 	}
 }
--- a/internal/httpfront/eviction.go
+++ b/internal/httpfront/eviction.go
@@ -19,7 +19,7 @@
 
 const (
 	rankAnswered   evictionRank = iota // the last response is written, and the client has not closed yet
-	rankSilent                         // nothing has been sent
+	rankNoMessage                      // nothing has been sent
 	rankIdle                           // nothing is open
 	rankIncomplete                     // a message has begun long ago and is not complete
 	rankNone                           // not evictable
@@ -45,7 +45,7 @@
 	now := s.loop.Now()
 	var busy []*connection // on which a message has arrived meanwhile
 	for {
-		c, rank := s.leastNeeded(now, busy)
+		c, rank := s.evictionCandidate(now, busy)
 		switch rank {
 		case rankNone:
 			return false
@@ -54,8 +54,8 @@
 			_ = c.socket.SetReadDeadline(time.Now().Add(evictionLinger))
 		case rankIncomplete:
 			s.rejectIncomplete(c)
-		case rankSilent, rankIdle:
-			if !s.closeIfIdle(c, new(int), evictionLingerOf(c, now)) {
+		case rankNoMessage, rankIdle:
+			if !s.closeIfIdle(c, new(int), evictionLingerFor(c, now)) {
 				busy = append(busy, c)
 				continue
 			}
@@ -65,9 +65,9 @@
 	}
 }
 
-// evictionLingerOf returns for how long input of an evicted connection is read.
+// evictionLingerFor returns for how long input of an evicted connection is read.
 // Where its last response has long arrived, nothing can be reset away.
-func evictionLingerOf(c *connection, now float64) time.Duration {
+func evictionLingerFor(c *connection, now float64) time.Duration {
 	if now-float64(c.idleSinceMS.Load()) > evictableAfterMS {
 		return 0
 	}
@@ -83,10 +83,10 @@
 	s.removeConnection(c)
 }
 
-// leastNeeded returns the connection that needs its slot least, except for busy
+// evictionCandidate returns the connection that needs its slot least, except for busy
 // ones, with its rank; rankNone if there is none. It makes no system call: with
 // hundreds of connections that would take the whole core.
-func (s *Server) leastNeeded(now float64, busy []*connection) (*connection, evictionRank) {
+func (s *Server) evictionCandidate(now float64, busy []*connection) (*connection, evictionRank) {
 	var worst *connection
 	worstRank := rankNone
 	worstSince := int64(0)
@@ -127,7 +127,7 @@
 	case c.requestCount > 0:
 		return rankIdle, idleSince
 	case long(idleSince):
-		return rankSilent, idleSince
+		return rankNoMessage, idleSince
 	default:
 		return rankNone, 0
 	}
--- a/internal/httpfront/exchange.go
+++ b/internal/httpfront/exchange.go
@@ -23,12 +23,12 @@
 	waiting       *connection // whose message waits for an answer; nil if none does
 	callCount     int         // messages so far
 	nextChunk     int         // that the waiting message asks for
-	answered      bool
+	completed     bool
 	chunks        [][][]byte // pages by response; nil unless served
 	errorResponse response   // unless served
 
-	pathGiven          bool
-	pathConnection     *connection // on which the path was last given, until it is polled
+	pollPathSent       bool
+	pollPathConnection *connection // on which the path was last given, until it is polled
 	clientDisconnected bool        // that connection has closed, and the client has not polled since
 	pollDueMS          float64     // by when the client polls, or does not come any more
 }
@@ -44,42 +44,42 @@
 	return fmt.Sprintf("%s%s/%d", pollPrefix, ex.id, chunk)
 }
 
-// awaitAnswer makes a connection wait for an exchange's answer. If that takes
+// attach makes a connection wait for an exchange's answer. If that takes
 // long, the client is given a path to poll.
-func (s *Server) awaitAnswer(c *connection, ex *exchange, chunk int) {
+func (s *Server) attach(c *connection, ex *exchange, chunk int) {
 	ex.waiting = c
 	ex.nextChunk = chunk
-	ex.pathConnection = nil
+	ex.pollPathConnection = nil
 	ex.pollDueMS = 0
 	ex.callCount++
 	c.exchange = ex
 	// The timer must not hold the exchange itself: its rows would stay in memory.
 	id := ex.id
 	callCount := ex.callCount
-	s.loop.After(pollAfterMS, func() { s.givePath(id, callCount) })
+	s.loop.After(pollAfterMS, func() { s.sendPollPath(id, callCount) })
 }
 
-// givePath answers a message that still waits with a path to poll.
-func (s *Server) givePath(id string, callCount int) {
+// sendPollPath answers a message that still waits with a path to poll.
+func (s *Server) sendPollPath(id string, callCount int) {
 	ex := s.exchanges[id]
-	if ex == nil || ex.waiting == nil || ex.callCount != callCount || ex.answered {
+	if ex == nil || ex.waiting == nil || ex.callCount != callCount || ex.completed {
 		return
 	}
 	c := ex.waiting
 	ex.waiting = nil
-	ex.pathGiven = true
+	ex.pollPathSent = true
 	ex.pollDueMS = s.loop.Now() + pollTimeoutMS
-	ex.pathConnection = c
-	c.pathExchange = ex
-	s.Counters.PathsGiven++
+	ex.pollPathConnection = c
+	c.pollPathExchange = ex
+	s.Counters.PollPathsSent++
 	s.respond(c, &response{status: 200, pollPath: ex.pollPath(0)})
 }
 
-// handleAnswer takes the final answer and delivers it to the message that waits.
-func (s *Server) handleAnswer(ex *exchange, answer dispatch.Response, result any) {
-	ex.answered = true
+// handleResponse takes the final answer and delivers it to the message that waits.
+func (s *Server) handleResponse(ex *exchange, final dispatch.Response, result any) {
+	ex.completed = true
 	class := &s.Counters.Classes[ex.class]
-	switch answer.Outcome {
+	switch final.Outcome {
 	case dispatch.Served:
 		s.Counters.Served++
 		class.Served++
@@ -88,12 +88,12 @@
 	case dispatch.Rejected:
 		s.Counters.Rejected++
 		class.Rejected++
-		retryAfterMS := int(math.Ceil(answer.RetryAfterMS))
+		retryAfterMS := int(math.Ceil(final.RetryAfterMS))
 		ex.errorResponse = response{status: 503, retryAfterMS: retryAfterMS, body: errorBody(errorRejected)}
 	default:
 		s.Counters.Failed++
 		class.Failed++
-		ex.errorResponse = failure(answer)
+		ex.errorResponse = failureResponse(final)
 	}
 	if ex.waiting != nil {
 		s.deliver(ex)
@@ -102,8 +102,8 @@
 	s.retain(ex)
 }
 
-func failure(answer dispatch.Response) response {
-	if answer.DeadlinePassed {
+func failureResponse(final dispatch.Response) response {
+	if final.DeadlinePassed {
 		return response{status: 504, body: errorBody(errorDeadline)}
 	}
 	return response{status: 502, body: errorBody(errorFailed)}
@@ -131,7 +131,7 @@
 	c := ex.waiting
 	ex.waiting = nil
 	s.respond(c, ex.nextResponse())
-	if ex.pathGiven {
+	if ex.pollPathSent {
 		s.retain(ex)
 		return
 	}
@@ -146,7 +146,7 @@
 	r := &response{status: 200, pages: ex.chunks[ex.nextChunk]}
 	if ex.nextChunk+1 < len(ex.chunks) {
 		r.pollPath = ex.pollPath(ex.nextChunk + 1)
-		ex.pathGiven = true
+		ex.pollPathSent = true
 	}
 	return r
 }
@@ -170,7 +170,7 @@
 func (s *Server) release(id string) {
 	s.retained = slices.DeleteFunc(s.retained, func(retained string) bool { return retained == id })
 	ex := s.exchanges[id]
-	if ex != nil && ex.answered {
+	if ex != nil && ex.completed {
 		delete(s.exchanges, id)
 	}
 }
@@ -179,9 +179,9 @@
 // closed. The client may be gone with it, or poll on a new one at once: until
 // that is known no attempt begins.
 func (s *Server) clientDisconnected(ex *exchange) {
-	s.Counters.DisconnectedWithPath++
+	s.Counters.DisconnectedWithPollPath++
 	ex.clientDisconnected = true
-	ex.pathConnection = nil
+	ex.pollPathConnection = nil
 	now := s.loop.Now()
 	if ex.pollDueMS == 0 || now <= ex.pollDueMS {
 		ex.pollDueMS = now + pollTimeoutMS
@@ -192,7 +192,7 @@
 // abandon ends an exchange whose client does not come back.
 func (s *Server) abandon(ex *exchange) {
 	delete(s.exchanges, ex.id)
-	if ex.answered {
+	if ex.completed {
 		return
 	}
 	s.Counters.Abandoned++
--- a/internal/httpfront/protocol_test.go
+++ b/internal/httpfront/protocol_test.go
@@ -15,10 +15,10 @@
 		"Content-Length: 1\r\n\r\nx", class, testID, headers)
 }
 
-// TestUnknownHeadersChangeNothing checks that headers that the protocol doesn't name, the
+// TestUnknownHeadersAreIgnored checks that headers that the protocol doesn't name, the
 // mark of a client's retry and a query's further header are read over: the request is
 // taken as without them.
-func TestUnknownHeadersChangeNothing(t *testing.T) {
+func TestUnknownHeadersAreIgnored(t *testing.T) {
 	for _, headers := range []string{
 		"", "Req-Retry: 1\r\n", "Req-Retry: 0\r\n", "Req-Later: 7\r\n",
 		"Content-Type: text/plain\r\nExpect: nothing\r\n",
@@ -28,10 +28,10 @@
 			t.Fatalf("%q: %v", headers, err)
 		}
 		want := dispatch.Request{ID: testID, ArrivedAtMS: 1000, DeadlineAtMS: 1450}
-		got := loop.taken[testID]
+		got := loop.submitted[testID]
 		want.Dataset = got.Dataset // of the statement, not of the protocol
-		if answer := nextResponse(t, c); answer != "" || !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: answered %q, submitted %+v, want %+v", headers, answer, got, want)
+		if text := nextResponse(t, c); text != "" || !reflect.DeepEqual(got, want) {
+			t.Errorf("%q: answered %q, submitted %+v, want %+v", headers, text, got, want)
 		}
 	}
 }
@@ -60,24 +60,24 @@
 		if err := send(server, conn, messageTo(c.class, c.headers)); err != nil {
 			t.Fatalf("%s %.40q: %v", c.class, c.headers, err)
 		}
-		answer := nextResponse(t, conn)
-		_, taken := loop.taken[testID]
+		text := nextResponse(t, conn)
+		_, submitted := loop.submitted[testID]
 		if c.reason == "" {
-			if answer != "" || !taken {
-				t.Errorf("%s %.40q: answered %q, submitted %v", c.class, c.headers, answer, taken)
+			if text != "" || !submitted {
+				t.Errorf("%s %.40q: answered %q, submitted %v", c.class, c.headers, text, submitted)
 			}
 			continue
 		}
 		want := fmt.Sprintf("{\"err\":%q}", c.reason)
-		if !strings.HasPrefix(answer, "HTTP/1.1 400 ") || !strings.HasSuffix(answer, want) || taken {
-			t.Errorf("%s %.40q: answered %q, submitted %v", c.class, c.headers, answer, taken)
+		if !strings.HasPrefix(text, "HTTP/1.1 400 ") || !strings.HasSuffix(text, want) || submitted {
+			t.Errorf("%s %.40q: answered %q, submitted %v", c.class, c.headers, text, submitted)
 		}
 	}
 }
 
-// TestPollOfMethodsAndPaths checks that only GET and DELETE are calls of a result's path,
+// TestPollMethodsAndPaths checks that only GET and DELETE are calls of a result's path,
 // and that what the path doesn't name is no result.
-func TestPollOfMethodsAndPaths(t *testing.T) {
+func TestPollMethodsAndPaths(t *testing.T) {
 	loop, server, dial := newFakeServer()
 	submit(server, dial())
 	loop.runTimers() // the answer takes long, so that the client has a path
@@ -125,7 +125,7 @@
 		t.Fatalf("%v abandoned, disconnected: %v", loop.abandoned, loop.disconnected)
 	}
 	served := dispatch.Response{RequestID: testID, Outcome: dispatch.Served}
-	loop.answers[testID](served, [][]byte{[]byte("a\tb\tc\n")})
+	loop.respond[testID](served, [][]byte{[]byte("a\tb\tc\n")})
 	if r := <-last.responses; r.status != 200 || len(r.pages) != 1 || r.pollPath != "" {
 		t.Errorf("%+v", r)
 	}
--- a/internal/httpfront/race_test.go
+++ b/internal/httpfront/race_test.go
@@ -33,7 +33,7 @@
 }
 
 func newSteppedLoop() *steppedLoop {
-	loop := &steppedLoop{fakeLoop: fakeLoop{answers: map[string]func(dispatch.Response, any){}, disconnected: map[string]bool{}}, posted: make(chan func(), 64)}
+	loop := &steppedLoop{fakeLoop: fakeLoop{respond: map[string]func(dispatch.Response, any){}, disconnected: map[string]bool{}}, posted: make(chan func(), 64)}
 	loop.clock.Store(1000)
 	return loop
 }
@@ -55,7 +55,7 @@
 	return loop, server, c, client.(*net.TCPConn)
 }
 
-const message = "POST /api/v2/lookup HTTP/1.1\r\nReq-Id: " + testID + "\r\nReq-Wait-Ms: 9000\r\nContent-Length: 1\r\n\r\nx"
+const requestMessage = "POST /api/v2/lookup HTTP/1.1\r\nReq-Id: " + testID + "\r\nReq-Wait-Ms: 9000\r\nContent-Length: 1\r\n\r\nx"
 
 // TestRequestWhileConnectionCloses checks that a request that arrives just after its connection is
 // closed is not taken, and its client sees an orderly close; one that arrived before is
@@ -65,27 +65,27 @@
 	if n := 0; !server.closeIfIdle(c, &n, closeLinger) || n != 1 {
 		t.Fatal("an idle connection is not closed")
 	}
-	_, _ = io.WriteString(client, message)
+	_, _ = io.WriteString(client, requestMessage)
 	if n, err := client.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
 		t.Errorf("the client reads %d bytes, %v", n, err)
 	}
 	_ = client.Close()
 	(<-loop.posted)() // its end; nothing else was posted before
-	if len(loop.answers) != 0 || server.Counters.Messages != 0 {
+	if len(loop.respond) != 0 || server.Counters.Messages != 0 {
 		t.Error("a request that arrived after the close was taken")
 	}
 
 	loop, server, c, client = newServedConnection(t)
-	_, _ = io.WriteString(client, message[:10])
+	_, _ = io.WriteString(client, requestMessage[:10])
 	for c.state.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if n := 0; server.closeIfIdle(c, &n, closeLinger) || n != 0 {
 		t.Error("a connection with a half-read request was closed")
 	}
-	_, _ = io.WriteString(client, message[10:])
+	_, _ = io.WriteString(client, requestMessage[10:])
 	(<-loop.posted)()
-	if len(loop.answers) != 1 {
+	if len(loop.respond) != 1 {
 		t.Error("a request that arrived before was not taken")
 	}
 }
@@ -95,10 +95,10 @@
 func TestResponseSurvivesTheClose(t *testing.T) {
 	loop, server, c, client := newServedConnection(t)
 	server.SetDraining(true)
-	_, _ = io.WriteString(client, message)
+	_, _ = io.WriteString(client, requestMessage)
 	(<-loop.posted)()
 	page := []byte(strings.Repeat("a\tb\tc\n", 20<<10))
-	loop.answers[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{page})
+	loop.respond[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{page})
 	_, _ = client.Read(make([]byte, 1)) // it has begun to arrive
 	for !c.writeClosed.Load() {         // all is written
 		time.Sleep(time.Millisecond)
@@ -126,7 +126,7 @@
 	idle.requestCount = 1
 	path := submitSlow(loop, server, a)
 	a.clearState(stateRequest)
-	loop.answers[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{[]byte("a\tb\tc\n")})
+	loop.respond[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{[]byte("a\tb\tc\n")})
 	server.StopAccepting()
 	if !isClosed(idle) || isClosed(a) || isClosed(fresh) || server.Idle() {
 		t.Fatalf("idle one closed %v, with a path %v, fresh %v, server idle %v", isClosed(idle), isClosed(a), isClosed(fresh), server.Idle())
@@ -157,27 +157,27 @@
 // from the arrival of its last byte, not from the response before it.
 func TestArrivalOfAPipelinedRequest(t *testing.T) {
 	loop, _, c, client := newServedConnection(t)
-	_, _ = io.WriteString(client, message)
+	_, _ = io.WriteString(client, requestMessage)
 	(<-loop.posted)()
 	loop.clock.Store(2000)
-	next := strings.Replace(message, testID, "00000000000000bb", 1)
+	next := strings.Replace(requestMessage, testID, "00000000000000bb", 1)
 	_, _ = io.WriteString(client, next)
 	for c.state.Load()&stateUnparsed == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	loop.clock.Store(9000)
-	loop.answers[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Rejected}, nil)
+	loop.respond[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Rejected}, nil)
 	(<-loop.posted)()
-	if r := loop.taken["00000000000000bb"]; r.ArrivedAtMS != 2000 || r.DeadlineAtMS > 2000+9000 {
+	if r := loop.submitted["00000000000000bb"]; r.ArrivedAtMS != 2000 || r.DeadlineAtMS > 2000+9000 {
 		t.Errorf("arrived at %v, deadline at %v", r.ArrivedAtMS, r.DeadlineAtMS)
 	}
 }
 
-// TestIncompleteRequestsHoldNoSlots checks that while clients whose message does not end
+// TestIncompleteRequestsAreEvicted checks that while clients whose message does not end
 // hold every slot, a new client is served all the same, before any of them has timed
 // out, and that those evicted are notified to come again. Left in the backlog its request
 // would count as taken before later ones on other connections.
-func TestIncompleteRequestsHoldNoSlots(t *testing.T) {
+func TestIncompleteRequestsAreEvicted(t *testing.T) {
 	loop := newSteppedLoop()
 	server := New(loop, testOptions)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -196,7 +196,7 @@
 		_, _ = io.WriteString(c, text)
 		return c
 	}
-	half := message[:len(message)-3]
+	half := requestMessage[:len(requestMessage)-3]
 	var halves []net.Conn
 	for len(halves) < cap(server.slots) {
 		halves = append(halves, dial(half))
@@ -208,8 +208,8 @@
 		}
 	}
 	loop.clock.Add(evictableAfterMS + 1)
-	dial(message)
-	for len(loop.taken) == 0 {
+	dial(requestMessage)
+	for len(loop.submitted) == 0 {
 		select {
 		case post := <-loop.posted:
 			post()
@@ -233,9 +233,9 @@
 	}
 }
 
-// TestNoSlotComesFree checks that connections are closed if no slot comes free, and that
+// TestNoFreeSlot checks that connections are closed if no slot comes free, and that
 // later ones do not wait as long as the first.
-func TestNoSlotComesFree(t *testing.T) {
+func TestNoFreeSlot(t *testing.T) {
 	loop := newSteppedLoop()
 	server := New(loop, Options{MaxConnections: 10})
 	for range cap(server.slots) {
@@ -286,13 +286,13 @@
 		}
 		server.removeConnection(b)
 		loop.now += pollTimeoutMS - 1
-		server.closeStalled()
+		server.closeTimedOut()
 		if len(loop.detached) != 0 {
 			t.Errorf("polled %v: detached too soon", polled)
 		}
 		loop.now += 2
-		server.closeStalled()
-		server.closeStalled()
+		server.closeTimedOut()
+		server.closeTimedOut()
 		if len(loop.detached) != 1 || len(loop.abandoned) != 0 {
 			t.Errorf("polled %v: detached %v, abandoned %v", polled, loop.detached, loop.abandoned)
 		}
@@ -302,7 +302,7 @@
 	a, b := dial(), dial()
 	get(server, b, "GET", submitSlow(loop, server, a))
 	server.removeConnection(a)
-	if loop.disconnected[testID] || server.Counters.DisconnectedWithPath != 0 {
+	if loop.disconnected[testID] || server.Counters.DisconnectedWithPollPath != 0 {
 		t.Error("away though its poll waits on a new connection")
 	}
 }
--- a/internal/httpfront/reader.go
+++ b/internal/httpfront/reader.go
@@ -35,7 +35,7 @@
 		if err := buffer.WaitForData(); err != nil {
 			return err
 		}
-		if err := s.readOne(c, buffer); err != nil {
+		if err := s.readMessage(c, buffer); err != nil {
 			return err
 		}
 		last, err := s.awaitResponse(c, buffer)
@@ -50,8 +50,8 @@
 	}
 }
 
-// readOne reads one message and posts it, or what is wrong with it.
-func (s *Server) readOne(c *connection, buffer *lineproto.Buffer) error {
+// readMessage reads one message and posts it, or what is wrong with it.
+func (s *Server) readMessage(c *connection, buffer *lineproto.Buffer) error {
 	c.readStartedMS.Store(int64(s.loop.Now()))
 	if !c.setState(stateRequest) {
 		return errConnectionClosed
@@ -83,7 +83,7 @@
 	discarded := 0
 	for {
 		select {
-		case last, open := <-c.answered:
+		case last, open := <-c.written:
 			if !open {
 				return false, errConnectionClosed
 			}
--- a/internal/httpfront/request_test.go
+++ b/internal/httpfront/request_test.go
@@ -38,7 +38,7 @@
 // messages, never in a panic or a body over the limit.
 func TestMalformedRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := lineproto.New(testprocess.NewChunkedConn(t, testprocess.MalformedMessage(t, post, post+post, "\r\n\r\n"+post)), maxHeadBytes)
+		in := lineproto.New(testprocess.NewChunkedConn(t, testprocess.MalformedMessage(t, postMessage, postMessage+postMessage, "\r\n\r\n"+postMessage)), maxHeadBytes)
 		for range 10 {
 			c, err := readRequest(in, maxBodyBytes)
 			if err != nil {
@@ -51,12 +51,12 @@
 	})
 }
 
-const post = "POST /api/v2/load HTTP/1.1\r\nHost: x\r\nReq-Id: 9b1f03aa5c7e2d41\r\nContent-Length: 5\r\n\r\nhello"
+const postMessage = "POST /api/v2/load HTTP/1.1\r\nHost: x\r\nReq-Id: 9b1f03aa5c7e2d41\r\nContent-Length: 5\r\n\r\nhello"
 
 // TestBufferShrinks checks that the memory of a large message is released.
 func TestBufferShrinks(t *testing.T) {
 	big := fmt.Sprintf("POST /x HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", 1<<19, strings.Repeat("x", 1<<19))
-	in := lineproto.New(strings.NewReader(big+post), maxHeadBytes)
+	in := lineproto.New(strings.NewReader(big+postMessage), maxHeadBytes)
 	for range 2 {
 		if _, err := readRequest(in, maxBodyBytes); err != nil {
 			t.Fatal(err)
--- a/internal/httpfront/routes.go
+++ b/internal/httpfront/routes.go
@@ -124,9 +124,9 @@
 	}
 	ex := &exchange{id: r.ID, class: r.Class}
 	s.exchanges[r.ID] = ex
-	s.awaitAnswer(c, ex, 0)
+	s.attach(c, ex, 0)
 	query := dispatch.Query{Statement: m.body, IdempotencyKey: key}
-	err = s.loop.Submit(r, query, func(answer dispatch.Response, result any) { s.handleAnswer(ex, answer, result) })
+	err = s.loop.Submit(r, query, func(final dispatch.Response, result any) { s.handleResponse(ex, final, result) })
 	if err != nil {
 		delete(s.exchanges, r.ID)
 		ex.detach()
@@ -214,7 +214,7 @@
 	id, number, _ := strings.Cut(strings.TrimPrefix(m.path, pollPrefix), "/")
 	chunk, err := parseDigits(number)
 	ex := s.exchanges[id]
-	if err != nil || ex == nil || ex.answered && ex.chunks != nil && chunk >= len(ex.chunks) {
+	if err != nil || ex == nil || ex.completed && ex.chunks != nil && chunk >= len(ex.chunks) {
 		s.reject(c, &requestError{404, "no such result"})
 		return
 	}
@@ -233,12 +233,12 @@
 func (s *Server) pollResult(c *connection, ex *exchange, chunk int) {
 	// A client that polls again on a new connection has lost the old one.
 	s.disconnectWaiting(ex)
-	s.awaitAnswer(c, ex, chunk)
+	s.attach(c, ex, chunk)
 	if ex.clientDisconnected {
 		ex.clientDisconnected = false
 		s.loop.SetClientDisconnected(ex.id, false)
 	}
-	if ex.answered {
+	if ex.completed {
 		s.deliver(ex)
 	}
 }
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -43,7 +43,7 @@
 	After(delayMS float64, f func())
 	// Submit takes a request. Unless it returns an error, answer is called once,
 	// with the pages as [][]byte if the request was served.
-	Submit(r dispatch.Request, work any, answer func(dispatch.Response, any)) error
+	Submit(r dispatch.Request, work any, respond func(dispatch.Response, any)) error
 	// AbandonRequest cancels a request whose client has disconnected.
 	AbandonRequest(id string)
 	// SetClientDisconnected notes that a request's client may have disconnected, or that
@@ -168,14 +168,14 @@
 			_ = c.socket.SetReadDeadline(time.Now().Add(closeLinger))
 		}
 	}
-	s.closeStalled()
+	s.closeTimedOut()
 }
 
 // Idle reports whether no client is owed anything and all connections have
 // ended.
 func (s *Server) Idle() bool {
 	for _, ex := range s.exchanges {
-		if !ex.answered || ex.waiting != nil {
+		if !ex.completed || ex.waiting != nil {
 			return false
 		}
 	}
--- a/internal/httpfront/server_test.go
+++ b/internal/httpfront/server_test.go
@@ -11,8 +11,8 @@
 type fakeLoop struct {
 	now          float64
 	timers       []func()
-	answers      map[string]func(dispatch.Response, any)
-	taken        map[string]dispatch.Request
+	respond      map[string]func(dispatch.Response, any)
+	submitted    map[string]dispatch.Request
 	abandoned    []string
 	disconnected map[string]bool
 	detached     []string
@@ -28,12 +28,12 @@
 	loop.disconnected[id] = disconnected
 }
 func (loop *fakeLoop) DetachRequest(id string) { loop.detached = append(loop.detached, id) }
-func (loop *fakeLoop) Submit(r dispatch.Request, w any, answer func(dispatch.Response, any)) error {
-	loop.answers[r.ID] = answer
-	if loop.taken == nil {
-		loop.taken = map[string]dispatch.Request{}
+func (loop *fakeLoop) Submit(r dispatch.Request, w any, respond func(dispatch.Response, any)) error {
+	loop.respond[r.ID] = respond
+	if loop.submitted == nil {
+		loop.submitted = map[string]dispatch.Request{}
 	}
-	loop.taken[r.ID] = r
+	loop.submitted[r.ID] = r
 	return nil
 }
 
@@ -50,7 +50,7 @@
 
 // newFakeServer returns a server, its event loop, and a function that connects a client.
 func newFakeServer() (*fakeLoop, *Server, func() *connection) {
-	loop := &fakeLoop{now: 1000, answers: map[string]func(dispatch.Response, any){}, disconnected: map[string]bool{}}
+	loop := &fakeLoop{now: 1000, respond: map[string]func(dispatch.Response, any){}, disconnected: map[string]bool{}}
 	server := New(loop, testOptions)
 	return loop, server, func() *connection {
 		socket, _ := net.Pipe()
@@ -97,7 +97,7 @@
 	}
 	b := dial()
 	get(server, b, "GET", r.pollPath)
-	loop.answers[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{[]byte("a\tb\tc\n")})
+	loop.respond[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{[]byte("a\tb\tc\n")})
 	for range 2 { // the second poll repeats the first
 		if got := <-b.responses; got.status != 200 || len(got.pages) != 1 || got.pollPath != "" {
 			t.Fatalf("%+v", got)
@@ -138,7 +138,7 @@
 	c := dial()
 	submit(server, c)
 	page := make([]byte, 40<<10)
-	loop.answers[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{page, page, page})
+	loop.respond[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{page, page, page})
 	n := 0
 	for r := <-c.responses; ; r = <-c.responses {
 		n += len(r.pages)
@@ -161,10 +161,10 @@
 	return c.closed
 }
 
-// TestSlotsGoToRequests checks the order of eviction: first a connection whose last
+// TestEvictionOrder checks the order of eviction: first a connection whose last
 // response is written, then one that has sent nothing for a while, then the one idle
 // for longest, then one whose message does not end, and never one with a request open.
-func TestSlotsGoToRequests(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	loop, server, dial := newFakeServer()
 	var all []*connection
 	for k := range 10 {
@@ -236,7 +236,7 @@
 	if isClosed(idle) || !isClosed(expired) {
 		t.Errorf("idle: %v, idle for too long: %v", isClosed(idle), isClosed(expired))
 	}
-	if c := server.Counters; c.ClosedSilent != 1 || c.ClosedSlow != 1 || c.ClosedIdle != 1 {
+	if c := server.Counters; c.ClosedNoMessage != 1 || c.ClosedSlow != 1 || c.ClosedIdle != 1 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/httpfront/tenant_test.go
+++ b/internal/httpfront/tenant_test.go
@@ -36,9 +36,9 @@
 			if err := send(server, conn, text); err != nil {
 				t.Fatal(err)
 			}
-			request, taken := loop.taken[id]
-			if taken != (c.status == 0) {
-				t.Fatalf("taken: %v", taken)
+			request, submitted := loop.submitted[id]
+			if submitted != (c.status == 0) {
+				t.Fatalf("submitted: %v", submitted)
 			}
 			if request.Tenant != c.want {
 				t.Errorf("tenant %d, want %d", request.Tenant, c.want)
--- a/internal/httpfront/timeouts.go
+++ b/internal/httpfront/timeouts.go
@@ -14,24 +14,24 @@
 
 // sweep ends connections and exchanges that have timed out.
 func (s *Server) sweep() {
-	s.closeStalled()
+	s.closeTimedOut()
 	s.loop.After(sweepIntervalMS, s.sweep)
 }
 
-func (s *Server) closeStalled() {
+func (s *Server) closeTimedOut() {
 	now := s.loop.Now()
 	for c := range s.connections {
-		s.closeIfStalled(c, now)
+		s.closeIfTimedOut(c, now)
 	}
 	s.evictExcess()
 	for _, ex := range s.exchanges {
-		s.endUnlessPolled(ex, now)
+		s.endIfNotPolled(ex, now)
 	}
 }
 
-// closeIfStalled closes a connection whose client sends nothing, does not
+// closeIfTimedOut closes a connection whose client sends nothing, does not
 // complete its message or does not read its response in time.
-func (s *Server) closeIfStalled(c *connection, now float64) {
+func (s *Server) closeIfTimedOut(c *connection, now float64) {
 	idleSince := float64(c.idleSinceMS.Load())
 	idle := now - idleSince
 	readStarted := float64(c.readStartedMS.Load())
@@ -53,7 +53,7 @@
 	case s.mustDrain(c, idle):
 		s.closeIfIdle(c, &s.Counters.ClosedDraining, closeLinger)
 	case c.requestCount == 0 && idle > requestTimeoutMS:
-		s.closeIfIdle(c, &s.Counters.ClosedSilent, closeLinger)
+		s.closeIfIdle(c, &s.Counters.ClosedNoMessage, closeLinger)
 	case idle > idleTimeoutMS:
 		s.closeIfIdle(c, &s.Counters.ClosedIdle, closeLinger)
 	}
@@ -81,9 +81,9 @@
 	return true
 }
 
-// endUnlessPolled ends an exchange whose client has not polled in time.
-func (s *Server) endUnlessPolled(ex *exchange, now float64) {
-	if ex.answered || now <= ex.pollDueMS {
+// endIfNotPolled ends an exchange whose client has not polled in time.
+func (s *Server) endIfNotPolled(ex *exchange, now float64) {
+	if ex.completed || now <= ex.pollDueMS {
 		return
 	}
 	switch {
--- a/internal/httpfront/writer.go
+++ b/internal/httpfront/writer.go
@@ -43,7 +43,7 @@
 	for r := range c.responses {
 		s.writeResponse(c, r)
 	}
-	close(c.answered)
+	close(c.written)
 	c.closeWrite(closeLinger)
 }
 
@@ -58,7 +58,7 @@
 		c.closeWrite(r.linger)
 	}
 	c.idleSinceMS.Store(int64(s.loop.Now()))
-	c.answered <- r.closeAfter || err != nil
+	c.written <- r.closeAfter || err != nil
 	unparsed := c.clearState(stateRequest)&stateUnparsed != 0
 	if unparsed && !r.closeAfter {
 		_ = c.socket.SetReadDeadline(wakeDeadline) // a message may be buffered
