--- a/internal/lineproto/buffer.go
+++ b/internal/lineproto/buffer.go
@@ -1,9 +1,9 @@
-// Package lineproto reads and writes messages made of lines and counted bytes,
-// as HTTP/1.1 and the engines' protocol have them.
+// Package lineproto reads and writes messages that consist of lines and of
+// byte sequences of known length, as in HTTP/1.1 and the engines' protocol.
 //
-//	buffer.go   reading: lines, heads and counted bytes
-//	message.go  writing: a message is composed first and sent in one write
-//	socket.go   what can be told of a connection without reading from it
+//	buffer.go   reads lines, heads and byte sequences of known length
+//	message.go  composes a message and sends it in one write
+//	socket.go   checks a connection for unread input without consuming the input
 //
 // Lines and heads are parsed by net/textproto.
 package lineproto
@@ -23,21 +23,22 @@
 // ErrTooLong is returned for a line, head or body over its limit.
 var ErrTooLong = errors.New("message too long")
 
-// parserBufferBytes hold a line while it is parsed; longer ones are read in parts.
+// parserBufferBytes is the buffer size of a pooled parser. Longer lines are read
+// in parts.
 const parserBufferBytes = 1024
 
-// bufferSizes suit requests and replies of a few hundred bytes.
+// bufferSizes are sized for requests and replies of a few hundred bytes.
 var bufferSizes = readbuffer.Sizes{InitialBytes: 4096, MaxIdleBytes: 16 << 10}
 
-// Buffer reads messages from what has come in on one connection. It is not safe
-// for concurrent use.
+// Buffer buffers the input of one connection and reads messages from it. A Buffer
+// is not safe for concurrent use.
 type Buffer struct {
 	readbuffer.Buffer
-	maxLineBytes int // also of a head
+	maxLineBytes int // limits heads as well as lines
 }
 
-// New returns a buffer over source. Lines and heads longer than maxLineBytes
-// are errors.
+// New returns a buffer that reads from source. Reading a line
+// or head longer than maxLineBytes fails with ErrTooLong.
 func New(source io.Reader, maxLineBytes int) *Buffer {
 	return &Buffer{Buffer: readbuffer.New(source, bufferSizes), maxLineBytes: maxLineBytes}
 }
@@ -45,7 +46,7 @@
 // WaitForData returns once at least one byte is buffered.
 func (b *Buffer) WaitForData() error { return b.FillTo(1) }
 
-// ReadLine returns the next line without its end.
+// ReadLine returns the next line without its line ending.
 func (b *Buffer) ReadLine() (string, error) {
 	data, err := b.readUntil(lineLength)
 	if err != nil {
@@ -59,8 +60,8 @@
 	return line, err
 }
 
-// ReadHead returns the first line and the fields of a head that ends with an
-// empty line. A malformed head is a textproto.ProtocolError.
+// ReadHead reads a head up to its empty line and returns the first line and the
+// header fields. The error for a malformed head is a textproto.ProtocolError.
 func (b *Buffer) ReadHead() (firstLine string, fields textproto.MIMEHeader, err error) {
 	if err := b.skipEmptyLines(); err != nil {
 		return "", nil, err
@@ -80,7 +81,7 @@
 	return firstLine, fields, err
 }
 
-// skipEmptyLines passes over line ends before a head (RFC 9112, 2.2).
+// skipEmptyLines discards empty lines before a head (RFC 9112, section 2.2).
 func (b *Buffer) skipEmptyLines() error {
 	for {
 		if err := b.WaitForData(); err != nil {
@@ -94,7 +95,7 @@
 	}
 }
 
-// ReadBytes returns the next n bytes. They are valid until the next call.
+// ReadBytes returns the next n bytes. The slice is valid until the next call.
 func (b *Buffer) ReadBytes(n int) ([]byte, error) {
 	err := b.FillTo(n)
 	if errors.Is(err, io.EOF) {
@@ -106,8 +107,8 @@
 	return b.Next(n), nil
 }
 
-// readUntil consumes as many bytes as length reports of what is buffered,
-// reading on while it reports a negative number.
+// readUntil calls length with the buffered bytes, reading more as long as length
+// returns a negative number, then consumes and returns that many bytes.
 func (b *Buffer) readUntil(length func([]byte) int) ([]byte, error) {
 	for {
 		n := length(b.Peek())
@@ -127,8 +128,8 @@
 	}
 }
 
-// lineLength returns the length of the first line with its end; -1 if the end
-// is not there yet.
+// lineLength returns the length of the first line including its line ending, or
+// -1 if data does not contain a line ending.
 func lineLength(data []byte) int {
 	end := bytes.IndexByte(data, '\n')
 	if end < 0 {
@@ -137,8 +138,8 @@
 	return end + 1
 }
 
-// headLength returns the length of the head with its empty line; -1 if that is
-// not there yet.
+// headLength returns the length of the head including its empty line, or -1 if
+// data does not contain the empty line.
 func headLength(data []byte) int {
 	length := 0
 	for {
@@ -154,8 +155,8 @@
 	}
 }
 
-// parser is a textproto.Reader over bytes. Parsers are pooled: a connection
-// uses one only while it parses.
+// parser is a textproto.Reader over a byte slice. Parsers are pooled, because a
+// connection needs a parser only while it parses.
 type parser struct {
 	data   bytes.Reader
 	buffer *bufio.Reader
--- a/internal/lineproto/message_test.go
+++ b/internal/lineproto/message_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// countingWriter counts the writes it takes.
+// countingWriter counts calls of Write and records the text written.
 type countingWriter struct {
 	writes int
 	text   string
@@ -16,8 +16,8 @@
 	return len(p), nil
 }
 
-// TestWriteIsOneWrite checks that a message goes out in one write, however many
-// lines it has, and that a pooled message begins empty.
+// TestWriteIsOneWrite checks that a message of several lines is sent in one write
+// and that a message from the pool starts empty.
 func TestWriteIsOneWrite(t *testing.T) {
 	for range 2 {
 		var c countingWriter
@@ -28,7 +28,7 @@
 			m.Bytes([]byte("body"))
 		})
 		if err != nil || n != len(c.text) || c.writes != 1 || c.text != "line\r\nline\r\nline\r\nbody" {
-			t.Errorf("%d writes of %q: %v", c.writes, c.text, err)
+			t.Errorf("%d writes of %q, returned %d and error %v; want one write", c.writes, c.text, n, err)
 		}
 	}
 }
--- a/internal/lineproto/socket.go
+++ b/internal/lineproto/socket.go
@@ -6,23 +6,25 @@
 	"syscall"
 )
 
-// HasUnread reports whether bytes have arrived on a connection that nobody has
-// read yet. On a busy core they may wait there for long: whoever closes an idle
-// connection asks first, so that no request is lost.
+// HasUnread reports whether bytes that have arrived on a connection are still
+// unread. On a busy core, input may stay unread for a long time, so callers check
+// HasUnread before they close an idle connection. Otherwise a request could be
+// lost.
 func HasUnread(c net.Conn) bool {
 	n, _ := peek(c)
 	return n > 0
 }
 
-// PeerClosed reports whether the other side has closed a connection and all
-// that it sent before has been read.
+// PeerClosed reports whether the peer has closed a connection and all input before
+// the close has been read, or the peer has reset the connection.
 func PeerClosed(c net.Conn) bool {
 	n, err := peek(c)
 	return n == 0 && err == nil || errors.Is(err, syscall.ECONNRESET)
 }
 
-// peek returns how many bytes could be read now, at most 1; 0 without error at
-// the end of the stream; -1 if there are none or the connection can't tell.
+// peek returns 1 if a byte can be read now, 0 without an error at the end of the
+// stream, and -1 if no input is available or the connection does not support the
+// check.
 func peek(c net.Conn) (int, error) {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
