--- a/internal/readbuffer/readbuffer.go
+++ b/internal/readbuffer/readbuffer.go
@@ -1,40 +1,40 @@
-// Package readbuffer keeps what has arrived on a connection until its messages
-// are parsed.
+// Package readbuffer buffers the input of a connection until it is parsed.
 package readbuffer
 
 import "io"
 
-// minFreeBytes of capacity are there before each read.
+// minFreeBytes is the minimum free capacity before each read.
 const minFreeBytes = 512
 
-// Sizes bound the memory of a buffer.
+// Sizes configures the memory that a buffer allocates and keeps.
 type Sizes struct {
-	InitialBytes int // allocated at first
-	MaxIdleBytes int // an empty buffer above this is released: connections live long
+	InitialBytes int // capacity of the first allocation
+	MaxIdleBytes int // a larger buffer is released once it is empty, as connections are long-lived
 }
 
-// Buffer holds what has come from its source and has not been consumed yet. It
-// grows as needed and is compacted in place. It is not safe for concurrent use.
+// Buffer holds bytes that were read from its source and have not been consumed.
+// A buffer grows as needed and is compacted in place. It is not safe for
+// concurrent use.
 type Buffer struct {
 	source   io.Reader
 	sizes    Sizes
 	data     []byte
-	consumed int // bytes at the front of data that were returned already
+	consumed int // number of bytes at the start of data that were consumed
 }
 
-// New returns an empty buffer over source. It allocates nothing before the first
-// read.
+// New returns an empty buffer that reads from source. No memory is allocated
+// before the first read.
 func New(source io.Reader, sizes Sizes) Buffer {
 	return Buffer{source: source, sizes: sizes}
 }
 
-// Buffered returns how many bytes are there and not consumed.
+// Buffered returns the number of bytes that can be consumed without a read.
 func (b *Buffer) Buffered() int { return len(b.data) - b.consumed }
 
-// Cap returns how much memory the buffer holds, in bytes.
+// Cap returns the capacity of the buffer in bytes.
 func (b *Buffer) Cap() int { return cap(b.data) }
 
-// Fill reads once from the source, however much is buffered.
+// Fill reads once from the source, even if bytes are already buffered.
 func (b *Buffer) Fill() error {
 	b.reserve()
 	n, err := b.source.Read(b.data[len(b.data):cap(b.data)])
@@ -48,8 +48,8 @@
 	return err
 }
 
-// FillTo reads until at least n bytes are buffered. After an error of the source,
-// which it returns as it is, what came before is still buffered.
+// FillTo reads until at least n bytes are buffered. An error of the source is
+// returned unchanged; bytes read before the error stay buffered.
 func (b *Buffer) FillTo(n int) error {
 	for b.Buffered() < n {
 		if err := b.Fill(); err != nil {
@@ -59,19 +59,20 @@
 	return nil
 }
 
-// Peek returns what is buffered without consuming it. It is valid until the next
-// read.
+// Peek returns the buffered bytes without consuming them. The slice is valid until
+// the next read.
 func (b *Buffer) Peek() []byte { return b.data[b.consumed:] }
 
-// Next consumes n bytes that are buffered and returns them. They are valid until
-// the next read.
+// Next consumes n buffered bytes and returns them. The slice is valid until the
+// next read. At least n bytes must be buffered.
 func (b *Buffer) Next(n int) []byte {
 	data := b.data[b.consumed : b.consumed+n]
 	b.consumed += n
 	return data
 }
 
-// reserve makes space for a read: first that of what was consumed.
+// reserve makes space for a read. It reuses the space of consumed bytes before it
+// allocates more.
 func (b *Buffer) reserve() {
 	if b.consumed > 0 {
 		remaining := copy(b.data, b.data[b.consumed:])
--- a/internal/readbuffer/readbuffer_test.go
+++ b/internal/readbuffer/readbuffer_test.go
@@ -13,9 +13,9 @@
 
 var testSizes = Sizes{InitialBytes: 1024, MaxIdleBytes: 4096}
 
-// TestBytesComeInOrder checks that whatever the sizes of reads and of what is
-// consumed, the bytes come complete and in order.
-func TestBytesComeInOrder(t *testing.T) {
+// TestBytesArriveInOrder checks that the bytes are returned complete and in order
+// for any sizes of reads and of consumed parts.
+func TestBytesArriveInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := rapid.SliceOfN(rapid.Byte(), 0, 20_000).Draw(t, "sent")
 		buffer := New(testprocess.NewChunkedConn(t, bytes.Clone(sent)), testSizes)
@@ -27,21 +27,22 @@
 				break
 			}
 			if err != nil || buffer.Buffered() < n || len(buffer.Peek()) != buffer.Buffered() {
-				t.Fatalf("%v, %d of %d bytes, %d shown", err, buffer.Buffered(), n, len(buffer.Peek()))
+				t.Fatalf("FillTo: error %v, %d bytes buffered of %d wanted, Peek returns %d",
+					err, buffer.Buffered(), n, len(buffer.Peek()))
 			}
 			received = append(received, buffer.Next(n)...)
 		}
-		received = append(received, buffer.Peek()...) // FillTo leaves what is too little
+		received = append(received, buffer.Peek()...) // the remainder, shorter than n
 		if !bytes.Equal(received, sent) {
-			t.Fatalf("received %d bytes of %d, or others", len(received), len(sent))
+			t.Fatalf("received %d bytes that differ from the %d bytes sent", len(received), len(sent))
 		}
 	})
 }
 
-// errBroken ends a scriptedSource.
+// errBroken is the error of a scriptedSource without further texts.
 var errBroken = errors.New("broken")
 
-// scriptedSource returns one of its texts a read, then errBroken.
+// scriptedSource returns the next of its texts for each read, then errBroken.
 type scriptedSource struct{ texts []string }
 
 func (s *scriptedSource) Read(p []byte) (int, error) {
@@ -53,8 +54,9 @@
 	return n, nil
 }
 
-// TestFillReadsOnce checks that Fill reads once, whatever is buffered, and FillTo
-// not at all when enough is, and that an error takes nothing away.
+// TestFillReadsOnce checks that Fill reads exactly once even if bytes are
+// buffered, that FillTo does not read if enough bytes are buffered, and that an
+// error leaves the buffered bytes unchanged.
 func TestFillReadsOnce(t *testing.T) {
 	source := &scriptedSource{[]string{"ab", "cd", "ef"}}
 	buffer := New(source, testSizes)
@@ -71,32 +73,33 @@
 		{buffer.Fill, errBroken, "abcdef"},
 	} {
 		if err := step.read(); !errors.Is(err, step.err) || string(buffer.Peek()) != step.buffered {
-			t.Errorf("%v and %q, want %v and %q", err, buffer.Peek(), step.err, step.buffered)
+			t.Errorf("error %v, buffered %q; want error %v, buffered %q",
+				err, buffer.Peek(), step.err, step.buffered)
 		}
 	}
 }
 
-// TestReadsWithoutProgressEnd checks that a source that returns nothing and no
-// error is not read for ever.
+// TestReadsWithoutProgressEnd checks that FillTo does not loop forever on a source
+// that returns neither bytes nor an error.
 func TestReadsWithoutProgressEnd(t *testing.T) {
 	buffer := New(&scriptedSource{[]string{""}}, testSizes)
 	if err := buffer.FillTo(1); !errors.Is(err, io.ErrNoProgress) {
-		t.Errorf("%v", err)
+		t.Errorf("FillTo: error %v, want %v", err, io.ErrNoProgress)
 	}
 }
 
-// endless fills each read.
-type endless struct{}
+// endlessSource fills the slice of each read completely.
+type endlessSource struct{}
 
-func (endless) Read(p []byte) (int, error) { return len(p), nil }
+func (endlessSource) Read(p []byte) (int, error) { return len(p), nil }
 
-// TestMemory checks that a buffer takes no memory before its first read, that it
-// does not grow while it is consumed as fast as it is filled, and that one which
-// has grown is released once it is empty.
+// TestMemory checks that a buffer allocates nothing before its first read, that
+// it does not grow while bytes are consumed as fast as they are read, and that a
+// buffer that has grown is released once it is empty.
 func TestMemory(t *testing.T) {
-	buffer := New(endless{}, testSizes)
+	buffer := New(endlessSource{}, testSizes)
 	if buffer.Cap() != 0 {
-		t.Errorf("%d bytes before the first read", buffer.Cap())
+		t.Errorf("capacity is %d bytes before the first read", buffer.Cap())
 	}
 	for range 100 {
 		if err := buffer.FillTo(100); err != nil {
@@ -105,25 +108,25 @@
 		buffer.Next(buffer.Buffered())
 	}
 	if buffer.Cap() != testSizes.InitialBytes {
-		t.Errorf("%d bytes for short messages", buffer.Cap())
+		t.Errorf("capacity is %d bytes for short messages", buffer.Cap())
 	}
 	if err := buffer.FillTo(100_000); err != nil {
 		t.Fatal(err)
 	}
 	if buffer.Cap() < 100_000 || buffer.Cap() > 300_000 {
-		t.Errorf("%d bytes for a message of 100,000", buffer.Cap())
+		t.Errorf("capacity is %d bytes for a message of 100,000 bytes", buffer.Cap())
 	}
 	buffer.Next(buffer.Buffered())
 	if err := buffer.Fill(); err != nil {
 		t.Fatal(err)
 	}
 	if buffer.Cap() != testSizes.InitialBytes {
-		t.Errorf("%d bytes after it", buffer.Cap())
+		t.Errorf("capacity is %d bytes after a large message was consumed", buffer.Cap())
 	}
 }
 
-// TestSpaceIsReused checks that what has been consumed makes space for what
-// comes, with a part of a message left over each time.
+// TestSpaceIsReused checks that the space of consumed bytes is reused for further
+// input when a part of a message stays buffered each time.
 func TestSpaceIsReused(t *testing.T) {
 	source := &scriptedSource{}
 	for range 1000 {
@@ -137,6 +140,6 @@
 		buffer.Next(max(0, buffer.Buffered()-100))
 	}
 	if buffer.Cap() != testSizes.InitialBytes {
-		t.Errorf("%d bytes", buffer.Cap())
+		t.Errorf("capacity is %d bytes, want %d", buffer.Cap(), testSizes.InitialBytes)
 	}
 }
