--- a/internal/acceptloop/acceptloop.go
+++ b/internal/acceptloop/acceptloop.go
@@ -8,17 +8,19 @@
 	"time"
 )
 
-// backoff after a failed accept, so that a shortage does not cost a core.
+// backoff is the delay after a failed accept. Without it, a shortage of
+// descriptors or memory would keep a core busy.
 const backoff = 10 * time.Millisecond
 
-// Run accepts connections and calls handle with each, until the listener is
-// closed. It calls failed with every other error, waits and goes on: none of
-// those that accept(2) names is the end of the listener.
+// Run accepts connections until the listener is closed and calls handle with each
+// connection. Run calls failed with every other error and retries after a delay,
+// because none of the errors that accept(2) lists means that the listener has
+// ended:
 //
 //   - EMFILE, ENFILE, ENOBUFS, ENOMEM: descriptors or memory are short. The
-//     connection stays in the backlog and is accepted when some are free again.
-//   - ECONNABORTED, EPROTO, EPERM: one client's connection broke, or a firewall
-//     forbids it. The next one may be good.
+//     connection stays in the backlog until resources are free again.
+//   - ECONNABORTED, EPROTO, EPERM: the connection of one client failed or a
+//     firewall rejects it. The next accept may succeed.
 //
 // handle and failed are called on the caller's goroutine, one at a time.
 func Run(listener net.Listener, handle func(net.Conn), failed func(error)) {
--- a/internal/acceptloop/acceptloop_test.go
+++ b/internal/acceptloop/acceptloop_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// acceptErrors are the errors of accept(2) that are not the end of a listener.
+// acceptErrors are the errors of accept(2) after which a listener still works.
 var acceptErrors = []syscall.Errno{
 	syscall.ECONNABORTED,
 	syscall.EMFILE,
@@ -21,21 +21,21 @@
 	syscall.EPROTO,
 }
 
-// accepted is what an accept of a fakeListener returns.
-type accepted struct {
+// acceptResult is the result of an Accept of a fakeListener.
+type acceptResult struct {
 	conn net.Conn
 	err  error
 }
 
-// fakeListener returns the results that it is given, in order. Without any it
-// waits, as a listener without clients does.
+// fakeListener returns the queued results in order. When the queue is empty,
+// Accept blocks like that of a listener without clients.
 type fakeListener struct {
-	results chan accepted
+	results chan acceptResult
 	closed  chan struct{}
 }
 
 func newFakeListener() *fakeListener {
-	return &fakeListener{results: make(chan accepted, 100), closed: make(chan struct{})}
+	return &fakeListener{results: make(chan acceptResult, 100), closed: make(chan struct{})}
 }
 
 func (l *fakeListener) Accept() (net.Conn, error) {
@@ -60,13 +60,13 @@
 }
 
 func (l *fakeListener) fail(errno syscall.Errno) {
-	l.results <- accepted{err: acceptError(os.NewSyscallError("accept4", errno))}
+	l.results <- acceptResult{err: acceptError(os.NewSyscallError("accept4", errno))}
 }
 
-// acceptError wraps an error as a TCP listener does.
+// acceptError wraps an error in the same way as a TCP listener.
 func acceptError(err error) error { return &net.OpError{Op: "accept", Net: "tcp", Err: err} }
 
-// loopRun is a loop under test and what it has called.
+// loopRun records the calls of a running accept loop and whether it has ended.
 type loopRun struct {
 	handled  []net.Conn
 	failed   []error
@@ -100,27 +100,28 @@
 				defer func() { _ = ours.Close() }()
 				defer func() { _ = theirs.Close() }()
 				listener.fail(errno)
-				listener.results <- accepted{conn: ours}
+				listener.results <- acceptResult{conn: ours}
 				time.Sleep(2 * backoff)
 				synctest.Wait()
 				if len(r.failed) != 1 || !errors.Is(r.failed[0], errno) {
-					t.Errorf("reported %v", r.failed)
+					t.Errorf("reported errors %v, want %v", r.failed, errno)
 				}
 				if len(r.handled) != 1 || r.handled[0] != ours || r.ended {
-					t.Errorf("handled %d connections, ended %v", len(r.handled), r.ended)
+					t.Errorf("handled %d connections, want 1; ended %v, want false", len(r.handled), r.ended)
 				}
 				_ = listener.Close()
 				synctest.Wait()
 				if !r.ended {
-					t.Error("the loop goes on after the close")
+					t.Error("the loop is still running after the close of the listener")
 				}
 			})
 		})
 	}
 }
 
-// TestErrorsDoNotSpin checks that while each accept fails, there is one in every
-// backoff: not more, and not fewer after many of them.
+// TestErrorsDoNotSpin checks that the loop calls Accept exactly once per backoff
+// interval while every accept fails, and that the interval does not grow with the
+// number of failures.
 func TestErrorsDoNotSpin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listener := newFakeListener()
@@ -136,24 +137,24 @@
 		time.Sleep(time.Duration(total+1) * backoff)
 		synctest.Wait()
 		if len(r.failedAt) != total {
-			t.Errorf("%d accepts of %d", len(r.failedAt), total)
+			t.Errorf("%d failed accepts, want %d", len(r.failedAt), total)
 		}
 		for n, at := range r.failedAt {
 			if elapsed := at.Sub(begun); elapsed != time.Duration(n)*backoff {
-				t.Errorf("accept %d after %v", n, elapsed)
+				t.Errorf("accept %d failed after %v, want %v", n, elapsed, time.Duration(n)*backoff)
 			}
 		}
 		_ = listener.Close()
 		synctest.Wait()
 		if !r.ended {
-			t.Error("the loop goes on after the close")
+			t.Error("the loop is still running after the close of the listener")
 		}
 	})
 }
 
-// TestCloseEndsTheLoop checks that the loop ends when its listener is closed,
-// while it waits for a connection and while it backs off, and that the close is
-// not reported.
+// TestCloseEndsTheLoop checks that closing the listener ends the loop, both while
+// the loop waits for a connection and during a backoff, and that the close is not
+// reported as an error.
 func TestCloseEndsTheLoop(t *testing.T) {
 	for name, failures := range map[string]int{"waiting": 0, "backing off": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -168,15 +169,16 @@
 				time.Sleep(2 * backoff)
 				synctest.Wait()
 				if !r.ended || len(r.failed) != failures || len(r.handled) != 0 {
-					t.Errorf("ended %v, %d reports, %d connections", r.ended, len(r.failed), len(r.handled))
+					t.Errorf("ended %v, %d errors reported, %d connections handled; want true, %d, 0",
+						r.ended, len(r.failed), len(r.handled), failures)
 				}
 			})
 		})
 	}
 }
 
-// TestCloseOfATCPListener checks that the loop handles a client of a TCP
-// listener and ends when that is closed.
+// TestCloseOfATCPListener checks that the loop handles a connection of a TCP
+// listener and ends when the listener is closed.
 func TestCloseOfATCPListener(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
