--- a/internal/lingeringclose/lingeringclose.go
+++ b/internal/lingeringclose/lingeringclose.go
@@ -1,7 +1,7 @@
-// Package lingeringclose ends a connection without losing what was written to it
-// last. A connection that is closed over unread input is reset, and the reset may
+// Package lingeringclose closes a connection without losing the last bytes written
+// to it. Closing a connection that has unread input resets it, and the reset may
 // overtake the last response. So the write side is closed first, and input is
-// read on for a bounded time, until the other side closes too.
+// discarded until the peer closes as well, for a limited time.
 package lingeringclose
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// CloseWrite ends what is written and lets input be read for a time. A connection
-// that has no write side of its own is closed.
+// CloseWrite closes the write side of a connection and sets a read deadline of
+// linger from now. A connection that does not support half-close is closed.
 func CloseWrite(conn net.Conn, linger time.Duration) {
-	_ = conn.SetReadDeadline(time.Now().Add(linger)) // fails only where the connection is closed
+	_ = conn.SetReadDeadline(time.Now().Add(linger)) // fails only if the connection is closed
 	halfCloser, ok := conn.(interface{ CloseWrite() error })
 	if !ok {
 		_ = conn.Close()
@@ -21,12 +21,12 @@
 	_ = halfCloser.CloseWrite()
 }
 
-// discardBytes is how much input is read at a time.
+// discardBytes is the buffer size of DiscardInput.
 const discardBytes = 4 << 10
 
-// DiscardInput reads what still comes until the other side closes, the deadline
-// of CloseWrite passes, or maxBytes have come. Whatever ends it, the
-// connection is closed next.
+// DiscardInput reads and discards input until the peer closes, the deadline that
+// CloseWrite has set passes, or maxBytes have been read. In each of these cases the
+// caller closes the connection next.
 func DiscardInput(conn net.Conn, maxBytes int64) {
 	buffer := make([]byte, discardBytes)
 	for maxBytes > 0 {
--- a/internal/lingeringclose/lingeringclose_test.go
+++ b/internal/lingeringclose/lingeringclose_test.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	longLinger = time.Minute // does not pass in a test
+	longLinger = time.Minute // longer than any test runs
 	testLimit  = 1 << 20
 )
 
@@ -38,8 +38,8 @@
 	return server, client
 }
 
-// TestResponseSurvivesUnreadInput checks that a client that has sent more than was
-// read gets the complete response and an orderly end.
+// TestResponseSurvivesUnreadInput checks that a client whose input was not read
+// completely receives the whole response and an orderly close instead of a reset.
 func TestResponseSurvivesUnreadInput(t *testing.T) {
 	server, client := connect(t)
 	input := make([]byte, 64<<10)
@@ -59,23 +59,24 @@
 	}()
 	received, err := io.ReadAll(client)
 	if err != nil || !bytes.Equal(received, response) {
-		t.Errorf("%d bytes of %d, %v", len(received), len(response), err)
+		t.Errorf("received %d bytes of a response of %d, error %v", len(received), len(response), err)
 	}
 	if _, err := client.Write(input); err != nil {
-		t.Errorf("the connection is reset under a client that goes on sending: %v", err)
+		t.Errorf("the connection was reset while the client was still sending: %v", err)
 	}
 	_ = client.Close()
 	<-closed
 }
 
-// TestLingerIsBounded checks that a client that neither closes nor sends is left
-// when the time is over, and one that goes on sending at the limit.
+// TestLingerIsBounded checks that DiscardInput returns at the read deadline if the
+// client neither closes nor sends, and at the byte limit if the client keeps
+// sending.
 func TestLingerIsBounded(t *testing.T) {
 	server, _ := connect(t)
 	CloseWrite(server, time.Millisecond)
 	DiscardInput(server, testLimit)
 	if _, err := server.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("after the time: %v", err)
+		t.Errorf("read after the deadline: error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 
 	server, client := connect(t)
@@ -88,17 +89,17 @@
 	DiscardInput(server, testLimit)
 	received := make([]byte, len(rest))
 	if _, err := io.ReadFull(server, received); err != nil || string(received) != rest {
-		t.Errorf("after the limit: %q, %v", received, err)
+		t.Errorf("read after the limit: %q, error %v; want %q", received, err, rest)
 	}
 }
 
-// TestConnectionsWithoutWriteSideAreClosed checks that a connection that can't be
-// half closed is closed.
+// TestConnectionsWithoutWriteSideAreClosed checks that CloseWrite closes a
+// connection that does not support half-close.
 func TestConnectionsWithoutWriteSideAreClosed(t *testing.T) {
 	server, client := net.Pipe()
 	CloseWrite(server, longLinger)
 	DiscardInput(server, testLimit)
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("%v", err)
+		t.Errorf("the peer reads error %v, want %v", err, io.EOF)
 	}
 }
