--- a/internal/httpresponse/httpresponse.go
+++ b/internal/httpresponse/httpresponse.go
@@ -7,8 +7,8 @@
 	"dewhill/internal/lineproto"
 )
 
-// reasons are the reason phrases of the statuses in use (RFC 9110, 15). net/http
-// has an older one for 413.
+// reasons maps each status code in use to its reason phrase (RFC 9110, section
+// 15). The phrase that net/http has for 413 is an older one.
 var reasons = map[int]string{
 	200: "OK",
 	400: "Bad Request",
@@ -29,12 +29,12 @@
 // Response is a response with a JSON body.
 type Response struct {
 	Status     int
-	Fields     []Field // beside those of every response
+	Fields     []Field // in addition to Content-Type, Content-Length and Connection
 	Body       []byte
-	CloseAfter bool // the last on its connection
+	CloseAfter bool // the server closes the connection after this response
 }
 
-// Field is a header field.
+// Field is an HTTP header field.
 type Field struct {
 	Name  string
 	Value string
--- a/internal/httpresponse/httpresponse_test.go
+++ b/internal/httpresponse/httpresponse_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestStatusLines checks the status line of every status in use.
+// TestStatusLines checks the status line for each status code in use.
 func TestStatusLines(t *testing.T) {
 	want := map[int]string{
 		200: "HTTP/1.1 200 OK",
@@ -25,7 +25,7 @@
 		505: "HTTP/1.1 505 HTTP Version Not Supported",
 	}
 	if len(reasons) != len(want) {
-		t.Errorf("%d statuses, want %d", len(reasons), len(want))
+		t.Errorf("%d status codes have a reason phrase, want %d", len(reasons), len(want))
 	}
 	for status, line := range want {
 		var written bytes.Buffer
@@ -33,12 +33,12 @@
 			t.Fatal(err)
 		}
 		if first, _, _ := strings.Cut(written.String(), "\r\n"); first != line {
-			t.Errorf("%q, want %q", first, line)
+			t.Errorf("status line %q, want %q", first, line)
 		}
 	}
 }
 
-// TestWrite checks the bytes of responses with and without what is optional.
+// TestWrite checks the bytes of responses with and without optional parts.
 func TestWrite(t *testing.T) {
 	for _, test := range []struct {
 		response Response
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 		if written.String() != test.want {
-			t.Errorf("%q, want %q", written.String(), test.want)
+			t.Errorf("wrote %q, want %q", written.String(), test.want)
 		}
 	}
 }
