--- a/internal/httpfront/accept.go
+++ b/internal/httpfront/accept.go
@@ -7,24 +7,25 @@
 	"dewhill/internal/acceptloop"
 )
 
-// slotTimeout for a slot to come free: clients take an accepted connection for
-// one whose request is read.
+// slotTimeout limits the wait for a free slot. It is short because a client whose
+// connection is accepted expects the server to read its request.
 const slotTimeout = 100 * time.Millisecond
 
-// Serve accepts connections until the listener is closed. None waits in the
-// backlog for long: what lies there unread counts as taken, before what comes
-// later on other connections.
+// Serve accepts connections until the listener is closed. It leaves no connection in
+// the backlog for long, because a request that is unread there still counts as
+// accepted before later requests on other connections.
 func (s *Server) Serve(listener net.Listener) {
 	acceptloop.Run(listener, s.ServeConn, func(error) { s.loop.Post(s.acceptFailed) })
 }
 
-// acceptFailed evicts a connection, as descriptors may be short.
+// acceptFailed counts a failed accept and evicts a connection, as the process may be
+// out of descriptors.
 func (s *Server) acceptFailed() {
 	s.Counters.AcceptErrors++
 	s.FreeDescriptor()
 }
 
-// ServeConn serves an accepted connection, or closes it if no slot comes free.
+// ServeConn serves an accepted connection, or closes it if no slot is available.
 func (s *Server) ServeConn(socket net.Conn) {
 	if s.acquireSlot() {
 		s.serveWithSlot(socket)
@@ -34,9 +35,10 @@
 	s.loop.Post(func() { s.Counters.NoSlot++ })
 }
 
-// acquireSlot waits for a slot while another connection is evicted. Once none
-// came free in time, later connections do not wait until one does: each would
-// wait for all before it.
+// acquireSlot takes a slot and reports whether it did. If no slot is free, it
+// requests an eviction and waits up to slotTimeout. After a timeout, later calls do
+// not wait until a slot is free again: calls are serialized, so each would wait for
+// all calls before it.
 func (s *Server) acquireSlot() bool {
 	s.admission.Lock()
 	defer s.admission.Unlock()
@@ -70,7 +72,7 @@
 	go s.writeLoop(c)
 }
 
-// register takes a connection on the event loop.
+// register adds a connection to the server. It runs on the event loop.
 func (s *Server) register(c *connection) {
 	s.Counters.Connections++
 	if c.closed {
--- a/internal/httpfront/accept_test.go
+++ b/internal/httpfront/accept_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// failingListener is a listener of a process that is out of descriptors for so many
-// accepts, and is closed then.
+// failingListener fails a number of accepts with EMFILE, as in a process that is out
+// of descriptors, and then reports that it is closed.
 type failingListener struct {
 	net.Listener
 	failures int
@@ -22,7 +22,7 @@
 }
 
 // TestFailedAcceptsEvict checks that each failed accept is counted and evicts a
-// connection, and that the listener's close does neither.
+// connection, and that the close of the listener does neither.
 func TestFailedAcceptsEvict(t *testing.T) {
 	loop, server, dial := newFakeServer()
 	for range 3 {
@@ -31,7 +31,7 @@
 	loop.now += evictableAfterMS + 1
 	server.Serve(&failingListener{failures: 2})
 	if server.Counters.AcceptErrors != 2 || server.Counters.Evicted != 2 || len(server.connections) != 1 {
-		t.Errorf("%d accept errors, %d evicted, %d connections",
+		t.Errorf("%d accept errors, %d evicted, %d connections left; want 2, 2, 1",
 			server.Counters.AcceptErrors, server.Counters.Evicted, len(server.connections))
 	}
 }
--- a/internal/httpfront/compat_test.go
+++ b/internal/httpfront/compat_test.go
@@ -38,7 +38,8 @@
 	return loop, server, c
 }
 
-// send lets the server read the bytes of a message.
+// send parses a message and passes it to the server as if the server had read it from
+// the connection.
 func send(server *Server, c *connection, text string) error {
 	m, err := readRequest(lineproto.New(strings.NewReader(text), maxHeadBytes), maxBodyBytes)
 	var malformed *requestError
@@ -62,7 +63,8 @@
 func (w *recordingConn) Write(p []byte) (int, error) { return w.Buffer.Write(p) }
 func (w *recordingConn) Read(p []byte) (int, error)  { return w.Buffer.Read(p) }
 
-// nextResponse returns the bytes of the queued response; empty if there is none.
+// nextResponse returns the bytes of the next queued response, or an empty string if
+// there is none.
 func nextResponse(t *testing.T, c *connection) string {
 	t.Helper()
 	select {
@@ -77,7 +79,8 @@
 	}
 }
 
-// goldenCases reads a golden file: in each line a name and quoted texts.
+// goldenCases reads a golden file. Each line holds a name and quoted texts, separated
+// by tabs.
 func goldenCases(t *testing.T, name string) (list [][]string) {
 	t.Helper()
 	text, err := os.ReadFile("testdata/compat/" + name)
@@ -96,8 +99,9 @@
 	return list
 }
 
-// TestCompatMessages holds messages that the server answers by itself. Each case is
-// a name, the message's bytes and the response's.
+// TestCompatMessages checks the exact responses to messages that the server handles
+// without the event loop. Each case holds a name, the bytes of the message and the
+// bytes of the response.
 func TestCompatMessages(t *testing.T) {
 	for _, testCase := range goldenCases(t, "calls.txt") {
 		name := testCase[0]
@@ -113,12 +117,13 @@
 			t.Errorf("%s: %v", name, err)
 		}
 		if got := nextResponse(t, c); got != want {
-			t.Errorf("now\n%s\t%q\t%q", name, message, got)
+			t.Errorf("got\n%s\t%q\t%q", name, message, got)
 		}
 	}
 }
 
-// TestCompatRequest holds the fields of a request.
+// TestCompatRequest checks the request and the query that the server submits for given
+// header fields.
 func TestCompatRequest(t *testing.T) {
 	loop, server, c := newRecordingServer()
 	for _, testCase := range goldenCases(t, "requests.txt") {
@@ -126,7 +131,7 @@
 			t.Fatalf("%s: %v", testCase[0], err)
 		}
 		if text := nextResponse(t, c); text != "" {
-			t.Fatalf("%s: answered %q", testCase[0], text)
+			t.Fatalf("%s: unexpected response %q", testCase[0], text)
 		}
 	}
 	want := dispatch.Request{
@@ -139,7 +144,7 @@
 		Key:          "stock",
 	}
 	got := loop.submitted["9b1f03aa5c7e2d41"]
-	want.Dataset = got.Dataset // of the statement, not of the protocol
+	want.Dataset = got.Dataset // derived from the statement, not from header fields
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("submitted %+v, want %+v", got, want)
 	}
@@ -154,8 +159,8 @@
 	}
 }
 
-// TestCompatResponses holds the responses to a request by its outcome. Each case is a
-// name and the responses' bytes.
+// TestCompatResponses checks the exact responses to a request for each outcome. Each
+// case holds a name and the bytes of the responses.
 func TestCompatResponses(t *testing.T) {
 	rows := [][]byte{[]byte("a\t1\t\nb\t\"2\"\t<é>\n"), []byte("c\t3\tx\n")}
 	outcomes := map[string]struct {
@@ -175,7 +180,7 @@
 		name := testCase[0]
 		outcome, ok := outcomes[name]
 		if !ok {
-			t.Fatalf("no case %q", name)
+			t.Fatalf("the golden file has an unknown case %q", name)
 		}
 		delete(outcomes, name)
 		loop, server, c := newRecordingServer()
@@ -184,7 +189,7 @@
 		}
 		got := ""
 		if strings.HasPrefix(name, "polled") {
-			loop.runTimers() // the answer takes long
+			loop.runTimers() // no response before the poll timer
 			got = nextResponse(t, c)
 			if err := send(server, c, "GET /polls/00000000000000aa/0 HTTP/1.1\r\n\r\n"); err != nil {
 				t.Fatal(err)
@@ -197,11 +202,11 @@
 		loop.respond["00000000000000aa"](outcome.response, result)
 		got += nextResponse(t, c)
 		if got != testCase[1] {
-			t.Errorf("now\n%s\t%q", name, got)
+			t.Errorf("got\n%s\t%q", name, got)
 		}
 	}
 	if len(outcomes) > 0 {
-		t.Errorf("not in the golden file: %v", outcomes)
+		t.Errorf("outcomes not in the golden file: %v", outcomes)
 	}
 }
 
@@ -219,14 +224,15 @@
 	}
 	want := "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"
 	if got := nextResponse(t, c); got != want {
-		t.Errorf("answered %q, want %q", got, want)
+		t.Errorf("response %q, want %q", got, want)
 	}
 	if !reflect.DeepEqual(loop.abandoned, []string{"00000000000000aa"}) {
-		t.Errorf("abandoned %q", loop.abandoned)
+		t.Errorf("abandoned requests %q, want one", loop.abandoned)
 	}
 }
 
-// TestCompatPageWithPath holds the form of a response that is not the last of a result.
+// TestCompatPageWithPath checks the bytes of a response that is not the last one of a
+// result.
 func TestCompatPageWithPath(t *testing.T) {
 	r := &response{status: 200, pages: [][]byte{[]byte("a\t1\tx\n")}, pollPath: "/polls/00000000000000aa/1"}
 	var w recordingConn
@@ -236,11 +242,11 @@
 	want := "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 59\r\n\r\n" +
 		`{"poll":"/polls/00000000000000aa/1","page":[["a","1","x"]]}`
 	if w.String() != want {
-		t.Errorf("written\n%q\nwant\n%q", w.String(), want)
+		t.Errorf("wrote\n%q\nwant\n%q", w.String(), want)
 	}
 }
 
-// TestCompatStatusLines holds the status lines.
+// TestCompatStatusLines checks the status line of each status code in use.
 func TestCompatStatusLines(t *testing.T) {
 	want := map[int]string{
 		200: "HTTP/1.1 200 OK",
@@ -264,7 +270,7 @@
 			t.Fatal(err)
 		}
 		if first, _, _ := strings.Cut(w.String(), "\r\n"); first != line {
-			t.Errorf("%q, want %q", first, line)
+			t.Errorf("status line %q, want %q", first, line)
 		}
 	}
 }
--- a/internal/httpfront/connection.go
+++ b/internal/httpfront/connection.go
@@ -10,21 +10,22 @@
 	"dewhill/internal/lingeringclose"
 )
 
-// The bits of a connection's state. At 0 it is idle: all that has come is
-// answered. The event loop closes a connection only from idle, in one step, and
-// what is read after that is no request.
+// The bits of a connection's state. With no bit set, the connection is idle: all
+// received input has been parsed and responded to. The event loop sets stateClosed
+// only on an idle connection, by one atomic change from 0; input that is read after
+// that is not handled as a request.
 const (
 	stateRequest  = 1 << iota // from the first byte of a message to the last of its response
-	stateUnparsed             // bytes are read that no message was made of
-	stateClosed               // no message is taken any more
+	stateUnparsed             // bytes have been read that are not part of a parsed message
+	stateClosed               // no further message is accepted
 )
 
 const (
-	arrivalResolutionMS = 10.0 // bytes within it count as arrived together
-	responseQueueLength = 4    // a client can wait for fewer
+	arrivalResolutionMS = 10.0 // bytes that arrive within this time are recorded as one arrival
+	responseQueueLength = 4    // more than the number of responses a client can wait for
 	goroutinesPerConn   = 2
 
-	closeLinger = 250 * time.Millisecond // for which input is read after a close without a response
+	closeLinger = 250 * time.Millisecond // how long input is read after a close without a response
 )
 
 var (
@@ -32,40 +33,41 @@
 	errResponseWritten  = errors.New("a response has been written")
 )
 
-// connection is a client's connection. It has a goroutine that reads and one
-// that writes.
+// connection is a client connection. One goroutine reads from it and another writes
+// to it.
 type connection struct {
 	socket     net.Conn
 	now        func() float64
-	responses  chan *response // closed by disconnect
-	written    chan bool      // a token for each response written; true: it was the last
+	responses  chan *response // response queue; closed by disconnect
+	written    chan bool      // one value for each response written; true for the last one
 	state      atomic.Int32
-	goroutines atomic.Int32 // that still use it: the last one frees its slot
+	goroutines atomic.Int32 // number still using the connection; the last one frees the slot
 
-	// Of the event loop.
-	exchange         *exchange // that it waits for
-	pollPathExchange *exchange // whose path was last given on it
+	// Accessed only by the event loop.
+	exchange         *exchange // whose response the connection waits for
+	pollPathExchange *exchange // whose poll path was last sent on this connection
 	requestCount     int
 	overLimit        bool
-	ending           bool // its last response is queued
+	ending           bool // the last response is queued
 	closed           bool
-	pollDueMS        float64 // by when the client is to poll a path
+	pollDueMS        float64 // when the client must have polled
 
-	// Of the reader.
+	// Accessed only by the reader.
 	awaitingResponse bool
 	bytesRead        int
-	arrivals         []arrival // of bytes that no message was made of
+	arrivals         []arrival // of bytes that are not part of a parsed message
 
-	writeClosed atomic.Bool // nothing is written any more
+	writeClosed atomic.Bool // the write side is closed
 
-	// Times in the loop's milliseconds, 0: none. Deadlines on the socket would
-	// cost a runtime timer each.
-	idleSinceMS    atomic.Int64 // when it was accepted, or last answered
-	readStartedMS  atomic.Int64 // of the message that is being read
-	writeStartedMS atomic.Int64 // of the response that is being written
+	// Times in milliseconds of the event loop's clock; 0 if unset. Socket deadlines
+	// are not used because each would cost a runtime timer.
+	idleSinceMS    atomic.Int64 // when the connection was accepted or its last response written
+	readStartedMS  atomic.Int64 // when reading the current message began
+	writeStartedMS atomic.Int64 // when writing the current response began
 }
 
-// arrival is when the bytes before an offset in the stream had arrived.
+// arrival records that all bytes before an offset in the stream had arrived at a
+// time.
 type arrival struct {
 	endOffset int
 	atMS      float64
@@ -82,8 +84,8 @@
 	return c
 }
 
-// goroutineDone notes that a goroutine no longer uses a connection. The last one
-// frees its slot.
+// goroutineDone records that a goroutine no longer uses a connection. The last
+// goroutine closes the socket and frees the slot.
 func (s *Server) goroutineDone(c *connection) {
 	if c.goroutines.Add(-1) == 0 {
 		_ = c.socket.Close()
@@ -91,8 +93,8 @@
 	}
 }
 
-// setState sets bits of the state, and reports whether the connection was not
-// closed.
+// setState sets bits of the state unless the connection is closed, and reports
+// whether it set them.
 func (c *connection) setState(bits int32) bool {
 	for {
 		old := c.state.Load()
@@ -105,12 +107,12 @@
 	}
 }
 
-// clearState clears bits of the state and returns what it was.
+// clearState clears bits of the state and returns the previous state.
 func (c *connection) clearState(bits int32) int32 { return c.state.And(^bits) }
 
-// Read reads what the client sends. What comes once the connection is closed is
-// dropped. The writer wakes a reader that may have a message by a deadline in
-// the past.
+// Read reads input from the client. Input that arrives after the connection is
+// closed is discarded. If a message may be buffered, the writer wakes the reader by
+// setting a read deadline in the past.
 func (c *connection) Read(p []byte) (int, error) {
 	for {
 		n, err := c.socket.Read(p)
@@ -125,7 +127,7 @@
 			return n, err
 		}
 		_ = c.socket.SetReadDeadline(time.Time{})
-		if c.writeClosed.Load() { // since then: its deadline must stand
+		if c.writeClosed.Load() { // closed meanwhile: closeWrite's deadline must stay
 			_ = c.socket.SetReadDeadline(time.Now().Add(closeLinger))
 		}
 		if c.awaitingResponse {
@@ -145,9 +147,9 @@
 	c.arrivals = append(c.arrivals, arrival{c.bytesRead, now})
 }
 
-// arrivedAtMS returns when the last byte before those that are still unparsed
-// arrived. The deadline of a request that was sent ahead counts from then, not
-// from the response before it.
+// arrivedAtMS returns when the last parsed byte arrived, given the number of
+// unparsed bytes after it. The deadline of a pipelined request counts from that
+// time, not from the response to the previous request.
 func (c *connection) arrivedAtMS(unparsed int) float64 {
 	for len(c.arrivals) > 1 && c.arrivals[0].endOffset < c.bytesRead-unparsed {
 		c.arrivals = c.arrivals[1:]
@@ -155,7 +157,8 @@
 	return c.arrivals[0].atMS
 }
 
-// closeWrite ends what is written, once. What still comes is read for a time.
+// closeWrite closes the write side and limits further reading to linger. Calls after
+// the first have no effect.
 func (c *connection) closeWrite(linger time.Duration) {
 	if c.writeClosed.Swap(true) {
 		return
@@ -163,14 +166,14 @@
 	lingeringclose.CloseWrite(c.socket, linger)
 }
 
-// removeConnection ends a connection and forgets it.
+// removeConnection disconnects a connection and removes it from the server.
 func (s *Server) removeConnection(c *connection) {
 	s.disconnect(c)
 	delete(s.connections, c)
 }
 
 // disconnect ends a connection. Its request is abandoned unless the client has a
-// path by which to come back.
+// poll path and so can fetch the result on another connection.
 func (s *Server) disconnect(c *connection) {
 	if c.closed {
 		return
--- a/internal/httpfront/counters.go
+++ b/internal/httpfront/counters.go
@@ -1,34 +1,34 @@
 package httpfront
 
-// Counters count what the server receives and answers. Their JSON keys and their
-// order are the operators' and do not change.
+// Counters count the requests, responses and connections of the server. Operators'
+// tools depend on the JSON keys and their order, so neither may change.
 type Counters struct {
 	Connections              int            `json:"Connections"`
 	Messages                 int            `json:"Calls"`
 	Requests                 int            `json:"Requests"`
 	Malformed                int            `json:"Malformed"`
-	Overload                 int            `json:"Overload"`  // requests rejected on connections over the limit
-	Abandoned                int            `json:"Abandoned"` // requests whose client disconnected
+	Overload                 int            `json:"Overload"`  // requests rejected: connection over the limit
+	Abandoned                int            `json:"Abandoned"` // requests cancelled, or client disconnected
 	Served                   int            `json:"Served"`
 	Rejected                 int            `json:"Refused"`
 	Failed                   int            `json:"Failed"`
-	PollPathsSent            int            `json:"Polls"`       // responses with a path to poll
-	StalledWriters           int            `json:"LostWriters"` // connections closed with a full queue of responses
+	PollPathsSent            int            `json:"Polls"`       // responses that contain only a poll path
+	StalledWriters           int            `json:"LostWriters"` // connections closed: response queue full
 	AcceptErrors             int            `json:"AcceptErrors"`
-	ClosedNoMessage          int            `json:"Silent"`   // connections closed: no message at all
-	ClosedSlow               int            `json:"TooSlow"`  // connections closed: message not complete in time
+	ClosedNoMessage          int            `json:"Silent"`   // connections closed: no message received
+	ClosedSlow               int            `json:"TooSlow"`  // connections closed: message incomplete
 	ClosedUnread             int            `json:"NotTaken"` // connections closed: response not read in time
-	ClosedIdle               int            `json:"Idle"`     // connections closed
-	Evicted                  int            `json:"Evicted"`  // connections closed for others
-	ClosedDraining           int            `json:"SentAway"` // connections closed
-	NoSlot                   int            `json:"NoPlace"`  // connections closed unheard, as no slot came free
-	DisconnectedWithPollPath int            `json:"Away"`     // clients that may still poll
+	ClosedIdle               int            `json:"Idle"`     // connections closed: idle too long
+	Evicted                  int            `json:"Evicted"`  // connections closed: slot or descriptor needed
+	ClosedDraining           int            `json:"SentAway"` // idle connections closed: draining or shutdown
+	NoSlot                   int            `json:"NoPlace"`  // connections closed unread: no slot was free
+	DisconnectedWithPollPath int            `json:"Away"`     // clients disconnected that may still poll
 	MalformedByReason        map[string]int `json:"Wrong"`
 	Classes                  []Outcomes     `json:"Classes"`
-	UnknownTenants           int            `json:"UnknownTenants,omitempty"` // requests of none of the settings' tenants
+	UnknownTenants           int            `json:"UnknownTenants,omitempty"` // no configured tenant
 }
 
-// Outcomes count the answers to a class's requests.
+// Outcomes count the responses to a class's requests by outcome.
 type Outcomes struct {
 	Served   int `json:"Served"`
 	Rejected int `json:"Refused"`
--- a/internal/httpfront/eviction.go
+++ b/internal/httpfront/eviction.go
@@ -6,30 +6,32 @@
 )
 
 const (
-	// evictableAfterMS without a complete message or with nothing sent makes a
-	// connection evictable: a client's message comes at once.
+	// evictableAfterMS is how long a connection may stay without a message or with an
+	// incomplete one before it can be evicted. Clients send a message at once after
+	// they connect.
 	evictableAfterMS = 250.0
-	// evictionLinger is short, as the slot is needed. A message that crosses the
-	// close is sent again within it.
+	// evictionLinger is how long input of an evicted connection is read. It is short,
+	// as the slot is needed. A client whose message crosses the close sends the message
+	// again within this time.
 	evictionLinger = 50 * time.Millisecond
 )
 
-// evictionRank orders connections by how little they need their slot.
+// evictionRank orders connections for eviction, lowest first.
 type evictionRank int
 
 const (
-	rankAnswered   evictionRank = iota // the last response is written, and the client has not closed yet
-	rankNoMessage                      // nothing has been sent
-	rankIdle                           // nothing is open
-	rankIncomplete                     // a message has begun long ago and is not complete
+	rankResponded  evictionRank = iota // the last response is written, but the client has not closed
+	rankNoMessage                      // the client has sent no message
+	rankIdle                           // no request is open
+	rankIncomplete                     // a message is incomplete for longer than evictableAfterMS
 	rankNone                           // not evictable
 )
 
 // FreeDescriptor evicts a connection when the system is out of descriptors.
 func (s *Server) FreeDescriptor() { s.evict() }
 
-// evictExcess evicts connections over the limit, as far as there are evictable
-// ones.
+// evictExcess evicts connections until their number is within the limit or no
+// evictable connection is left.
 func (s *Server) evictExcess() {
 	for len(s.connections) > s.maxConnections {
 		if !s.evict() {
@@ -38,18 +40,18 @@
 	}
 }
 
-// evict ends the connection that needs its slot least, and reports whether there
-// was one. Clients that stay for good, or come by the hundred and send nothing
-// or half a message, must not keep others out.
+// evict closes the connection of the lowest eviction rank and reports whether there
+// was one to close. Clients that never disconnect, or hundreds of clients that send
+// nothing or half a message, must not keep others out.
 func (s *Server) evict() bool {
 	now := s.loop.Now()
-	var busy []*connection // on which a message has arrived meanwhile
+	var busy []*connection // connections on which a message has arrived meanwhile
 	for {
 		c, rank := s.evictionCandidate(now, busy)
 		switch rank {
 		case rankNone:
 			return false
-		case rankAnswered:
+		case rankResponded:
 			s.removeConnection(c)
 			_ = c.socket.SetReadDeadline(time.Now().Add(evictionLinger))
 		case rankIncomplete:
@@ -65,8 +67,9 @@
 	}
 }
 
-// evictionLingerFor returns for how long input of an evicted connection is read.
-// Where its last response has long arrived, nothing can be reset away.
+// evictionLingerFor returns how long input of an evicted connection is read. It is 0
+// if the connection has been idle for longer than evictableAfterMS: the last response
+// has arrived by then, so a reset can't discard it.
 func evictionLingerFor(c *connection, now float64) time.Duration {
 	if now-float64(c.idleSinceMS.Load()) > evictableAfterMS {
 		return 0
@@ -74,7 +77,8 @@
 	return evictionLinger
 }
 
-// rejectIncomplete tells a client to come again, whatever it still sends.
+// rejectIncomplete rejects an incomplete message, asking the client to retry later,
+// and removes the connection. Further input of the message is discarded.
 func (s *Server) rejectIncomplete(c *connection) {
 	_ = c.socket.SetWriteDeadline(time.Now().Add(evictionLinger))
 	r := s.rejection()
@@ -83,28 +87,30 @@
 	s.removeConnection(c)
 }
 
-// evictionCandidate returns the connection that needs its slot least, except for busy
-// ones, with its rank; rankNone if there is none. It makes no system call: with
-// hundreds of connections that would take the whole core.
+// evictionCandidate returns the connection to evict next and its rank, or rankNone if
+// no connection is evictable. Connections in busy are skipped. evictionCandidate
+// makes no system calls: with hundreds of connections they would occupy the whole
+// core.
 func (s *Server) evictionCandidate(now float64, busy []*connection) (*connection, evictionRank) {
-	var worst *connection
-	worstRank := rankNone
-	worstSince := int64(0)
+	var candidate *connection
+	candidateRank := rankNone
+	candidateSince := int64(0)
 	for c := range s.connections {
 		if len(busy) > 0 && slices.Contains(busy, c) {
 			continue
 		}
 		rank, since := c.evictionRank(now)
-		if rank < worstRank || rank == worstRank && since < worstSince {
-			worst = c
-			worstRank = rank
-			worstSince = since
+		if rank < candidateRank || rank == candidateRank && since < candidateSince {
+			candidate = c
+			candidateRank = rank
+			candidateSince = since
 		}
 	}
-	return worst, worstRank
+	return candidate, candidateRank
 }
 
-// evictionRank returns a connection's rank, and since when it has it.
+// evictionRank returns the connection's rank and the time since which the rank
+// applies.
 func (c *connection) evictionRank(now float64) (rank evictionRank, sinceMS int64) {
 	idleSince := c.idleSinceMS.Load()
 	readStarted := c.readStartedMS.Load()
@@ -119,7 +125,7 @@
 		if c.writeStartedMS.Load() > 0 || len(c.responses) > 0 {
 			return rankNone, 0
 		}
-		return rankAnswered, idleSince
+		return rankResponded, idleSince
 	case readStarted > 0 && long(readStarted):
 		return rankIncomplete, readStarted
 	case c.state.Load() != 0:
--- a/internal/httpfront/exchange.go
+++ b/internal/httpfront/exchange.go
@@ -9,60 +9,62 @@
 )
 
 const (
-	pollAfterMS   = 5000     // without an answer a client is given a path to poll
-	pollTimeoutMS = 1000.0   // for a client to poll a path
-	maxChunkBytes = 64 << 10 // of rows in one response
-	retainMS      = 5000     // for which an answer is retained
-	maxRetained   = 256
+	pollAfterMS   = 5000     // without a response the client is sent a poll path
+	pollTimeoutMS = 1000.0   // within which a client with a poll path must poll
+	maxChunkBytes = 64 << 10 // row data in one response
+	retainMS      = 5000     // how long a completed exchange is retained
+	maxRetained   = 256      // completed exchanges
 )
 
-// exchange is a request from its first message to its last response.
+// exchange is a client's request, from its first message to its last response. A
+// request can span several messages: the client polls for the result.
 type exchange struct {
 	id            string
 	class         int
-	waiting       *connection // whose message waits for an answer; nil if none does
-	callCount     int         // messages so far
-	nextChunk     int         // that the waiting message asks for
+	waiting       *connection // whose message waits for a response; nil if none
+	messageCount  int         // messages received so far
+	nextChunk     int         // chunk requested by the waiting message
 	completed     bool
-	chunks        [][][]byte // pages by response; nil unless served
-	errorResponse response   // unless served
+	chunks        [][][]byte // the result's pages, grouped by response; nil unless served
+	errorResponse response   // set if completed and not served
 
 	pollPathSent       bool
-	pollPathConnection *connection // on which the path was last given, until it is polled
-	clientDisconnected bool        // that connection has closed, and the client has not polled since
-	pollDueMS          float64     // by when the client polls, or does not come any more
+	pollPathConnection *connection // on which the poll path was last sent; nil once polled
+	clientDisconnected bool        // the client's connection has closed and it has not polled since
+	pollDueMS          float64     // if the client has not polled by then, it is not expected to
 }
 
-// detach parts an exchange from the connection that waits for it.
+// detach ends a connection's wait for an exchange's response.
 func (ex *exchange) detach() {
 	ex.waiting.exchange = nil
 	ex.waiting = nil
 }
 
-// pollPath is the path of a chunk of the result.
+// pollPath returns the path of a chunk of the result.
 func (ex *exchange) pollPath(chunk int) string {
 	return fmt.Sprintf("%s%s/%d", pollPrefix, ex.id, chunk)
 }
 
-// attach makes a connection wait for an exchange's answer. If that takes
-// long, the client is given a path to poll.
+// attach makes a connection wait for an exchange's response. If no response is
+// available within pollAfterMS, the client is sent a poll path.
 func (s *Server) attach(c *connection, ex *exchange, chunk int) {
 	ex.waiting = c
 	ex.nextChunk = chunk
 	ex.pollPathConnection = nil
 	ex.pollDueMS = 0
-	ex.callCount++
+	ex.messageCount++
 	c.exchange = ex
-	// The timer must not hold the exchange itself: its rows would stay in memory.
+	// The timer must not refer to the exchange, which would keep its rows in memory.
 	id := ex.id
-	callCount := ex.callCount
-	s.loop.After(pollAfterMS, func() { s.sendPollPath(id, callCount) })
+	messageCount := ex.messageCount
+	s.loop.After(pollAfterMS, func() { s.sendPollPath(id, messageCount) })
 }
 
-// sendPollPath answers a message that still waits with a path to poll.
-func (s *Server) sendPollPath(id string, callCount int) {
+// sendPollPath responds with a poll path to a message that still waits. messageCount
+// identifies the message, since each later message of the exchange has its own timer.
+func (s *Server) sendPollPath(id string, messageCount int) {
 	ex := s.exchanges[id]
-	if ex == nil || ex.waiting == nil || ex.callCount != callCount || ex.completed {
+	if ex == nil || ex.waiting == nil || ex.messageCount != messageCount || ex.completed {
 		return
 	}
 	c := ex.waiting
@@ -75,7 +77,8 @@
 	s.respond(c, &response{status: 200, pollPath: ex.pollPath(0)})
 }
 
-// handleResponse takes the final answer and delivers it to the message that waits.
+// handleResponse stores the final response of the event loop and delivers it to the
+// waiting message. Without a waiting message the exchange is retained.
 func (s *Server) handleResponse(ex *exchange, final dispatch.Response, result any) {
 	ex.completed = true
 	class := &s.Counters.Classes[ex.class]
@@ -102,6 +105,8 @@
 	s.retain(ex)
 }
 
+// failureResponse returns the HTTP response for a request that was neither served nor
+// rejected.
 func failureResponse(final dispatch.Response) response {
 	if final.DeadlinePassed {
 		return response{status: 504, body: errorBody(errorDeadline)}
@@ -109,7 +114,8 @@
 	return response{status: 502, body: errorBody(errorFailed)}
 }
 
-// groupPages groups pages by response; there is at least one group.
+// groupPages groups pages into responses of at most maxChunkBytes; a larger page is a
+// group of its own. It returns at least one group.
 func groupPages(pages [][]byte) [][][]byte {
 	groups := [][][]byte{nil}
 	size := 0
@@ -126,7 +132,8 @@
 	return groups
 }
 
-// deliver responds to the waiting message with the answer.
+// deliver responds to the waiting message with the result. An exchange whose client
+// has a poll path is retained, since the client may poll again.
 func (s *Server) deliver(ex *exchange) {
 	c := ex.waiting
 	ex.waiting = nil
@@ -151,7 +158,8 @@
 	return r
 }
 
-// retain keeps an answer for a client that polls again on a new connection.
+// retain keeps a completed exchange for a client that polls again on a new
+// connection. If more than maxRetained are kept, the oldest is released.
 func (s *Server) retain(ex *exchange) {
 	if !slices.Contains(s.retained, ex.id) {
 		s.retained = append(s.retained, ex.id)
@@ -159,9 +167,9 @@
 	if len(s.retained) > maxRetained {
 		s.release(s.retained[0])
 	}
-	callCount := ex.callCount
+	messageCount := ex.messageCount
 	s.loop.After(retainMS, func() {
-		if ex.callCount == callCount && s.exchanges[ex.id] == ex {
+		if ex.messageCount == messageCount && s.exchanges[ex.id] == ex {
 			s.release(ex.id)
 		}
 	})
@@ -175,9 +183,9 @@
 	}
 }
 
-// clientDisconnected notes that the connection of a client with a path has
-// closed. The client may be gone with it, or poll on a new one at once: until
-// that is known no attempt begins.
+// clientDisconnected records that the connection of a client with a poll path has
+// closed. The client may be gone, or may poll on a new connection at once; no attempt
+// begins until it polls.
 func (s *Server) clientDisconnected(ex *exchange) {
 	s.Counters.DisconnectedWithPollPath++
 	ex.clientDisconnected = true
@@ -189,7 +197,7 @@
 	s.loop.SetClientDisconnected(ex.id, true)
 }
 
-// abandon ends an exchange whose client does not come back.
+// abandon ends an exchange whose client no longer waits for the response.
 func (s *Server) abandon(ex *exchange) {
 	delete(s.exchanges, ex.id)
 	if ex.completed {
--- a/internal/httpfront/protocol_test.go
+++ b/internal/httpfront/protocol_test.go
@@ -9,15 +9,16 @@
 	"dewhill/internal/dispatch"
 )
 
-// messageTo is a request of a class with the given header lines, each with its end.
+// messageTo returns a message with a request of a class and additional header lines.
+// Each header line must include its line ending.
 func messageTo(class, headers string) string {
 	return fmt.Sprintf("POST /api/v2/%s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Wait-Ms: 500\r\n%s"+
 		"Content-Length: 1\r\n\r\nx", class, testID, headers)
 }
 
-// TestUnknownHeadersAreIgnored checks that headers that the protocol doesn't name, the
-// mark of a client's retry and a query's further header are read over: the request is
-// taken as without them.
+// TestUnknownHeadersAreIgnored checks that header fields that the protocol does not
+// define, among them Req-Retry, with which a client marks a retry, have no effect: the
+// request is submitted as without them.
 func TestUnknownHeadersAreIgnored(t *testing.T) {
 	for _, headers := range []string{
 		"", "Req-Retry: 1\r\n", "Req-Retry: 0\r\n", "Req-Later: 7\r\n",
@@ -29,16 +30,16 @@
 		}
 		want := dispatch.Request{ID: testID, ArrivedAtMS: 1000, DeadlineAtMS: 1450}
 		got := loop.submitted[testID]
-		want.Dataset = got.Dataset // of the statement, not of the protocol
+		want.Dataset = got.Dataset // derived from the statement, not from header fields
 		if text := nextResponse(t, c); text != "" || !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: answered %q, submitted %+v, want %+v", headers, text, got, want)
+			t.Errorf("%q: response %q, submitted %+v, want %+v", headers, text, got, want)
 		}
 	}
 }
 
-// TestMalformedIdempotencyKeys checks that a key that is absent, empty, repeated, too long
-// or can't be a field of an engine's request is answered with 400, and that the request is
-// not submitted. Where it is not required it may be absent, but not malformed.
+// TestMalformedIdempotencyKeys checks that a request whose idempotency key is absent,
+// empty, repeated, too long or unfit for a field of an engine's request is rejected with
+// 400 and not submitted. A key that is not required may be absent, but not malformed.
 func TestMalformedIdempotencyKeys(t *testing.T) {
 	longest := strings.Repeat("k", maxKeyBytes)
 	for _, c := range []struct{ class, headers, reason string }{
@@ -64,23 +65,23 @@
 		_, submitted := loop.submitted[testID]
 		if c.reason == "" {
 			if text != "" || !submitted {
-				t.Errorf("%s %.40q: answered %q, submitted %v", c.class, c.headers, text, submitted)
+				t.Errorf("%s %.40q: response %q, submitted %v", c.class, c.headers, text, submitted)
 			}
 			continue
 		}
 		want := fmt.Sprintf("{\"err\":%q}", c.reason)
 		if !strings.HasPrefix(text, "HTTP/1.1 400 ") || !strings.HasSuffix(text, want) || submitted {
-			t.Errorf("%s %.40q: answered %q, submitted %v", c.class, c.headers, text, submitted)
+			t.Errorf("%s %.40q: response %q, submitted %v", c.class, c.headers, text, submitted)
 		}
 	}
 }
 
-// TestPollMethodsAndPaths checks that only GET and DELETE are calls of a result's path,
-// and that what the path doesn't name is no result.
+// TestPollMethodsAndPaths checks that a poll path accepts only GET and DELETE, and that
+// a path without an existing request and chunk gives 404.
 func TestPollMethodsAndPaths(t *testing.T) {
 	loop, server, dial := newFakeServer()
 	submit(server, dial())
-	loop.runTimers() // the answer takes long, so that the client has a path
+	loop.runTimers() // no response before the poll timer, so the client is sent a poll path
 	for _, c := range []struct {
 		method, path string
 		status       int
@@ -97,17 +98,17 @@
 		conn := dial()
 		get(server, conn, c.method, c.path)
 		if r := <-conn.responses; r.status != c.status || !r.closeAfter {
-			t.Errorf("%s %s: %+v, want status %d and a close", c.method, c.path, r, c.status)
+			t.Errorf("%s %s: response %+v, want status %d and a close", c.method, c.path, r, c.status)
 		}
 	}
 	if len(loop.abandoned) != 0 || len(server.exchanges) != 1 {
-		t.Errorf("%v abandoned, %d open", loop.abandoned, len(server.exchanges))
+		t.Errorf("%v abandoned, %d exchanges open; want none and 1", loop.abandoned, len(server.exchanges))
 	}
 }
 
-// TestPollRepeatedThreeTimes checks that a client may repeat a poll on three new
-// connections, one after another, as long as no answer has come, and gets the answer on
-// the last one.
+// TestPollRepeatedThreeTimes checks that a client whose request is not completed may
+// repeat a poll on three new connections, one after another, and receives the response
+// on the last one.
 func TestPollRepeatedThreeTimes(t *testing.T) {
 	loop, server, dial := newFakeServer()
 	first := dial()
@@ -127,6 +128,6 @@
 	served := dispatch.Response{RequestID: testID, Outcome: dispatch.Served}
 	loop.respond[testID](served, [][]byte{[]byte("a\tb\tc\n")})
 	if r := <-last.responses; r.status != 200 || len(r.pages) != 1 || r.pollPath != "" {
-		t.Errorf("%+v", r)
+		t.Errorf("response %+v, want status 200, one page and no poll path", r)
 	}
 }
--- a/internal/httpfront/race_test.go
+++ b/internal/httpfront/race_test.go
@@ -14,7 +14,7 @@
 	"dewhill/internal/testprocess"
 )
 
-// steppedLoop is an event loop whose posted functions wait until the test runs them.
+// steppedLoop is an event loop that queues posted functions until the test runs them.
 type steppedLoop struct {
 	fakeLoop
 	posted chan func()
@@ -25,7 +25,7 @@
 func (loop *steppedLoop) PostUrgent(f func()) { loop.posted <- f }
 func (loop *steppedLoop) Now() float64        { return float64(loop.clock.Load()) }
 
-// runPosted runs what is posted from here on.
+// runPosted runs queued and later posted functions. It does not return.
 func (loop *steppedLoop) runPosted() {
 	for post := range loop.posted {
 		post()
@@ -38,8 +38,8 @@
 	return loop
 }
 
-// newServedConnection returns a server with one connection of a real socket, whose
-// goroutines run, and the client's end of it.
+// newServedConnection returns a server with one connection on a real socket, whose
+// goroutines are running, and the client's end of the connection.
 func newServedConnection(t *testing.T) (*steppedLoop, *Server, *connection, *net.TCPConn) {
 	t.Helper()
 	loop := newSteppedLoop()
@@ -57,22 +57,22 @@
 
 const requestMessage = "POST /api/v2/lookup HTTP/1.1\r\nReq-Id: " + testID + "\r\nReq-Wait-Ms: 9000\r\nContent-Length: 1\r\n\r\nx"
 
-// TestRequestWhileConnectionCloses checks that a request that arrives just after its connection is
-// closed is not taken, and its client sees an orderly close; one that arrived before is
-// taken, and the connection is not closed.
+// TestRequestWhileConnectionCloses checks that a request that arrives just after its
+// connection is closed is not accepted and its client sees an orderly close. A request
+// that has begun to arrive before is accepted, and its connection is not closed.
 func TestRequestWhileConnectionCloses(t *testing.T) {
 	loop, server, c, client := newServedConnection(t)
 	if n := 0; !server.closeIfIdle(c, &n, closeLinger) || n != 1 {
-		t.Fatal("an idle connection is not closed")
+		t.Fatal("an idle connection was not closed")
 	}
 	_, _ = io.WriteString(client, requestMessage)
 	if n, err := client.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-		t.Errorf("the client reads %d bytes, %v", n, err)
+		t.Errorf("the client reads %d bytes, error %v; want EOF", n, err)
 	}
 	_ = client.Close()
-	(<-loop.posted)() // its end; nothing else was posted before
+	(<-loop.posted)() // removes the connection; nothing else has been posted
 	if len(loop.respond) != 0 || server.Counters.Messages != 0 {
-		t.Error("a request that arrived after the close was taken")
+		t.Error("a request that arrived after the close was accepted")
 	}
 
 	loop, server, c, client = newServedConnection(t)
@@ -86,12 +86,12 @@
 	_, _ = io.WriteString(client, requestMessage[10:])
 	(<-loop.posted)()
 	if len(loop.respond) != 1 {
-		t.Error("a request that arrived before was not taken")
+		t.Error("a request that arrived before the close was not accepted")
 	}
 }
 
-// TestResponseSurvivesTheClose checks that a client that reads slowly, and goes on
-// sending after its last response, gets the complete response all the same.
+// TestResponseSurvivesTheClose checks that a client that reads slowly and keeps sending
+// after its last response still receives the whole response.
 func TestResponseSurvivesTheClose(t *testing.T) {
 	loop, server, c, client := newServedConnection(t)
 	server.SetDraining(true)
@@ -99,25 +99,25 @@
 	(<-loop.posted)()
 	page := []byte(strings.Repeat("a\tb\tc\n", 20<<10))
 	loop.respond[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{page})
-	_, _ = client.Read(make([]byte, 1)) // it has begun to arrive
-	for !c.writeClosed.Load() {         // all is written
+	_, _ = client.Read(make([]byte, 1)) // the response has begun to arrive
+	for !c.writeClosed.Load() {         // the whole response is written
 		time.Sleep(time.Millisecond)
 	}
 	go loop.runPosted()
 	for range 64 {
 		if _, err := io.WriteString(client, strings.Repeat("y", 16<<10)); err != nil {
-			t.Fatalf("the connection is reset under a client that goes on sending: %v", err)
+			t.Fatalf("the connection was reset while the client was still sending: %v", err)
 		}
 	}
 	all, err := io.ReadAll(bufio.NewReader(client))
 	if err != nil || !strings.HasSuffix(string(all), `["a","b","c"]]}`) {
-		t.Errorf("the response, %d bytes: %v", len(all), err)
+		t.Errorf("incomplete response of %d bytes, error %v", len(all), err)
 	}
 }
 
-// TestStopAcceptingWaitsForThePoll checks that a server that ends waits for a client that
-// was given a path, for a bounded time; an idle connection is closed at once, a new one
-// after a moment.
+// TestStopAcceptingWaitsForThePoll checks that a server that shuts down waits for the
+// poll of a client with a poll path, for a limited time. An idle connection is closed
+// at once, a new one after evictableAfterMS.
 func TestStopAcceptingWaitsForThePoll(t *testing.T) {
 	loop, server, dial := newFakeServer()
 	a := dial()
@@ -129,17 +129,17 @@
 	loop.respond[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{[]byte("a\tb\tc\n")})
 	server.StopAccepting()
 	if !isClosed(idle) || isClosed(a) || isClosed(fresh) || server.Idle() {
-		t.Fatalf("idle one closed %v, with a path %v, fresh %v, server idle %v", isClosed(idle), isClosed(a), isClosed(fresh), server.Idle())
+		t.Fatalf("closed: idle %v, with poll path %v, fresh %v; server idle %v", isClosed(idle), isClosed(a), isClosed(fresh), server.Idle())
 	}
 	get(server, a, "GET", path)
 	if r := <-a.responses; r.status != 200 || len(r.pages) != 1 || !r.closeAfter {
-		t.Errorf("%+v", r)
+		t.Errorf("response %+v, want status 200, one page and a close", r)
 	}
 	server.removeConnection(a)
 	loop.now += evictableAfterMS + 1
 	loop.runTimers()
 	if !isClosed(fresh) || !server.Idle() {
-		t.Errorf("fresh closed %v, idle %v", isClosed(fresh), server.Idle())
+		t.Errorf("fresh connection closed %v, server idle %v", isClosed(fresh), server.Idle())
 	}
 
 	loop, server, dial = newFakeServer()
@@ -147,14 +147,14 @@
 	submitSlow(loop, server, a)
 	server.StopAccepting()
 	loop.now += pollTimeoutMS + 1
-	loop.runTimers() // its client does not poll
+	loop.runTimers() // the client does not poll
 	if len(loop.abandoned) != 1 || !isClosed(a) || !server.Idle() {
-		t.Errorf("abandoned %v, closed %v, idle %v", loop.abandoned, isClosed(a), server.Idle())
+		t.Errorf("abandoned %v, closed %v, server idle %v", loop.abandoned, isClosed(a), server.Idle())
 	}
 }
 
-// TestArrivalOfAPipelinedRequest checks that the deadline of a request sent ahead counts
-// from the arrival of its last byte, not from the response before it.
+// TestArrivalOfAPipelinedRequest checks that the deadline of a pipelined request counts
+// from the arrival of its last byte, not from the response to the previous request.
 func TestArrivalOfAPipelinedRequest(t *testing.T) {
 	loop, _, c, client := newServedConnection(t)
 	_, _ = io.WriteString(client, requestMessage)
@@ -169,14 +169,15 @@
 	loop.respond[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Rejected}, nil)
 	(<-loop.posted)()
 	if r := loop.submitted["00000000000000bb"]; r.ArrivedAtMS != 2000 || r.DeadlineAtMS > 2000+9000 {
-		t.Errorf("arrived at %v, deadline at %v", r.ArrivedAtMS, r.DeadlineAtMS)
+		t.Errorf("arrived at %v, deadline at %v; want arrival at 2000", r.ArrivedAtMS, r.DeadlineAtMS)
 	}
 }
 
-// TestIncompleteRequestsAreEvicted checks that while clients whose message does not end
-// hold every slot, a new client is served all the same, before any of them has timed
-// out, and that those evicted are notified to come again. Left in the backlog its request
-// would count as taken before later ones on other connections.
+// TestIncompleteRequestsAreEvicted checks that a new client is served while clients with
+// incomplete messages hold every slot, before any of their connections has timed out,
+// and that an evicted client receives a 503 that asks it to retry. If the new connection
+// stayed in the backlog, its request would count as accepted before later requests on
+// other connections.
 func TestIncompleteRequestsAreEvicted(t *testing.T) {
 	loop := newSteppedLoop()
 	server := New(loop, testOptions)
@@ -214,11 +215,11 @@
 		case post := <-loop.posted:
 			post()
 		case <-time.After(20 * time.Second):
-			t.Fatal("its request was not read")
+			t.Fatal("the request of the new client was not read within 20 s")
 		}
 	}
 	if server.Counters.ClosedSlow != 0 || server.Counters.Evicted == 0 || server.Counters.NoSlot != 0 {
-		t.Errorf("%+v", server.Counters)
+		t.Errorf("counters %+v, want Evicted above 0, ClosedSlow and NoSlot 0", server.Counters)
 	}
 	go loop.runPosted()
 	notified := make(chan bool, len(halves))
@@ -233,8 +234,8 @@
 	}
 }
 
-// TestNoFreeSlot checks that connections are closed if no slot comes free, and that
-// later ones do not wait as long as the first.
+// TestNoFreeSlot checks that connections are closed if no slot becomes free, and that
+// later connections do not wait as long as the first.
 func TestNoFreeSlot(t *testing.T) {
 	loop := newSteppedLoop()
 	server := New(loop, Options{MaxConnections: 10})
@@ -246,27 +247,28 @@
 	go server.ServeConn(ours)
 	_ = theirs.SetDeadline(time.Now().Add(20 * time.Second))
 	if _, err := theirs.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the first: %v", err)
+		t.Errorf("the first connection: error %v, want EOF", err)
 	}
 	begun := time.Now()
 	const others = 400
 	for range others {
 		if server.acquireSlot() {
-			t.Fatal("a slot where there is none")
+			t.Fatal("acquired a slot although none is free")
 		}
 	}
 	if took := time.Since(begun); took > others*slotTimeout/2 {
-		t.Errorf("the others took %v", took)
+		t.Errorf("%d later connections took %v, want at most %v", others, took, others*slotTimeout/2)
 	}
 	<-server.slots
 	if !server.acquireSlot() || server.noSlotFree {
-		t.Error("no slot once one is free")
+		t.Error("no slot acquired after one was freed")
 	}
 }
 
-// TestNoAttemptUntilDisconnectedClientPolls checks that no attempt begins while a client with a path has
-// no connection, whether it had polled or not; that attempts may begin once it polls on a
-// new one; and that after a time without a poll its request is detached.
+// TestNoAttemptUntilDisconnectedClientPolls checks that the event loop is notified when
+// a client with a poll path disconnects, whether it had polled or not, so that no attempt
+// begins; that the notice is withdrawn once the client polls on a new connection; and
+// that the request is detached if the client does not poll within pollTimeoutMS.
 func TestNoAttemptUntilDisconnectedClientPolls(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		loop, server, dial := newFakeServer()
@@ -277,18 +279,18 @@
 		}
 		server.removeConnection(a)
 		if !loop.disconnected[testID] {
-			t.Errorf("polled %v: its disconnect is not noted", polled)
+			t.Errorf("polled %v: the disconnect was not reported", polled)
 		}
 		b := dial()
 		get(server, b, "GET", path)
 		if loop.disconnected[testID] {
-			t.Errorf("polled %v: its poll is not noted", polled)
+			t.Errorf("polled %v: the disconnect was not withdrawn after a poll", polled)
 		}
 		server.removeConnection(b)
 		loop.now += pollTimeoutMS - 1
 		server.closeTimedOut()
 		if len(loop.detached) != 0 {
-			t.Errorf("polled %v: detached too soon", polled)
+			t.Errorf("polled %v: detached before pollTimeoutMS", polled)
 		}
 		loop.now += 2
 		server.closeTimedOut()
@@ -297,12 +299,12 @@
 			t.Errorf("polled %v: detached %v, abandoned %v", polled, loop.detached, loop.abandoned)
 		}
 	}
-	// The old connection may end after the poll on a new one.
+	// The old connection may end after the poll on a new connection.
 	loop, server, dial := newFakeServer()
 	a, b := dial(), dial()
 	get(server, b, "GET", submitSlow(loop, server, a))
 	server.removeConnection(a)
 	if loop.disconnected[testID] || server.Counters.DisconnectedWithPollPath != 0 {
-		t.Error("away though its poll waits on a new connection")
+		t.Error("reported as disconnected although its poll waits on a new connection")
 	}
 }
--- a/internal/httpfront/reader.go
+++ b/internal/httpfront/reader.go
@@ -11,24 +11,25 @@
 
 const (
 	discardBufferBytes = 32 << 10
-	maxDiscardedBytes  = 128 << 20 // of input that is read without being used
+	maxDiscardedBytes  = 128 << 20 // input that is read and discarded
 )
 
 var discardBuffers = sync.Pool{New: func() any { return new([discardBufferBytes]byte) }}
 
-// readLoop reads messages until the connection ends or is closed.
+// readLoop reads messages until the connection ends or the server closes it.
 func (s *Server) readLoop(c *connection) {
 	defer s.goroutineDone(c)
 	err := s.readRequests(c)
 	s.loop.PostUrgent(func() { s.removeConnection(c) })
-	// A client that has half closed and reads nothing must not hold its slot.
+	// A client that has half-closed and reads nothing must not keep its slot.
 	_ = c.socket.SetWriteDeadline(time.Now().Add(writeTimeoutMS * time.Millisecond))
 	if errors.Is(err, errConnectionClosed) {
 		lingeringclose.DiscardInput(c.socket, maxDiscardedBytes)
 	}
 }
 
-// readRequests hands messages to the event loop, one at a time.
+// readRequests passes messages to the event loop one at a time: it waits for the
+// response before it reads the next message.
 func (s *Server) readRequests(c *connection) error {
 	buffer := lineproto.New(c, maxHeadBytes)
 	for {
@@ -43,14 +44,15 @@
 			return err
 		}
 		if last {
-			// What is sent behind a last response is not read as a request.
+			// Input after the last response is not handled as a request.
 			c.closeWrite(responseLinger)
 			return errConnectionClosed
 		}
 	}
 }
 
-// readMessage reads one message and posts it, or what is wrong with it.
+// readMessage reads one message and posts it to the event loop, or posts the
+// rejection of a malformed message.
 func (s *Server) readMessage(c *connection, buffer *lineproto.Buffer) error {
 	c.readStartedMS.Store(int64(s.loop.Now()))
 	if !c.setState(stateRequest) {
@@ -74,9 +76,10 @@
 	return nil
 }
 
-// awaitResponse waits for the response to a message and reads on meanwhile, so
-// that a disconnect is noticed behind whatever the client has sent ahead. Of
-// that a bounded part is buffered; if more comes, the response is the last.
+// awaitResponse waits for the response to a message. Meanwhile it keeps reading, so
+// that a disconnect is noticed even after pipelined input. Up to maxPipelined bytes
+// of that input are buffered. More input, up to maxDiscardedBytes, is discarded
+// and makes the response the last one on the connection.
 func (s *Server) awaitResponse(c *connection, buffer *lineproto.Buffer) (last bool, err error) {
 	c.awaitingResponse = true
 	defer func() { c.awaitingResponse = false }()
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -12,7 +12,7 @@
 
 const (
 	maxHeadBytes    = 16 << 10
-	maxKeyBytes     = 256 // of an order key and of an idempotency key
+	maxKeyBytes     = 256 // of an order key or an idempotency key
 	maxDigits       = 15  // of a whole number
 	requestIDLength = 16
 )
@@ -27,23 +27,23 @@
 	arrivedAtMS float64
 }
 
-// requestError is a malformed message, which is answered with its status and
-// reason; the connection is closed after it.
+// requestError is the error for a malformed message. The server responds with the
+// status and the reason and closes the connection.
 type requestError struct {
 	status int
 	reason string
 }
 
-// Error returns the reason, which is also the response's.
+// Error returns the reason, which is also the text in the response.
 func (e *requestError) Error() string { return e.reason }
 
 func requestErrorf(status int, format string, args ...any) error {
 	return &requestError{status, fmt.Sprintf(format, args...)}
 }
 
-// readRequest reads one message. A malformed or too long one is a *requestError:
-// after it nobody knows where the next message begins. Other errors are the
-// connection's.
+// readRequest reads one message. The error for a malformed or too long message is a
+// *requestError; the connection can't be used after it, because the start of the next
+// message is not known. Other errors come from the connection.
 func readRequest(buffer *lineproto.Buffer, maxBody int) (*request, error) {
 	firstLine, fields, err := buffer.ReadHead()
 	var malformed textproto.ProtocolError
@@ -96,14 +96,15 @@
 	return nil
 }
 
-// contentLength returns the length of the body. A length that can be read two
-// ways would let one message hide in another, so all such heads are malformed.
+// contentLength returns the length of the body. A head whose body length is ambiguous
+// is malformed, because an ambiguous length allows request smuggling: one message
+// hidden in another.
 func (m *request) contentLength() (int, error) {
 	if _, found := m.fields["Transfer-Encoding"]; found {
 		return 0, requestErrorf(411, "a body needs Content-Length")
 	}
 	for name := range m.fields {
-		if strings.ContainsAny(name, " \t") { // textproto accepts these as another field
+		if strings.ContainsAny(name, " \t") { // textproto accepts these as distinct fields
 			return 0, requestErrorf(400, "malformed field name")
 		}
 	}
@@ -126,7 +127,8 @@
 
 var errNotDigits = errors.New("not a whole number")
 
-// parseDigits reads a whole number from 0 up, without a sign.
+// parseDigits parses a non-negative decimal integer without a sign, of at most
+// maxDigits digits.
 func parseDigits(text string) (int, error) {
 	if text == "" || len(text) > maxDigits || strings.Trim(text, "0123456789") != "" {
 		return 0, errNotDigits
@@ -134,8 +136,8 @@
 	return strconv.Atoi(text)
 }
 
-// field returns a header field's value; empty if it is absent. One that is
-// repeated is malformed.
+// field returns the value of a header field, or an empty string if the field is
+// absent. A repeated field is malformed.
 func (m *request) field(name string) (string, error) {
 	values := m.fields.Values(name)
 	switch len(values) {
@@ -148,8 +150,8 @@
 	}
 }
 
-// numberField returns a field that holds a number from 0 to maxValue; 0 if it is
-// absent.
+// numberField returns the value of a field that holds a number from 0 to maxValue, or
+// 0 if the field is absent or empty.
 func (m *request) numberField(name string, maxValue float64) (float64, error) {
 	text, err := m.field(name)
 	if err != nil || text == "" {
@@ -178,7 +180,7 @@
 	return len(text) == requestIDLength && strings.Trim(text, "0123456789abcdefABCDEF") == ""
 }
 
-// waitMS returns how long the client waits.
+// waitMS returns how long the client waits for the response, in milliseconds.
 func (m *request) waitMS() (float64, error) {
 	text, err := m.field(headerWaitMS)
 	if err != nil {
@@ -191,7 +193,7 @@
 	return float64(wait), nil
 }
 
-// orderKey returns the key by which requests are kept in order.
+// orderKey returns the order key: requests with the same key are kept in order.
 func (m *request) orderKey() (string, error) {
 	key, err := m.field(headerKey)
 	if err != nil {
@@ -204,8 +206,8 @@
 }
 
 // idempotencyKey returns the key by which engines recognize a repeated request.
-// It must fit into a field of an engine's request: visible ASCII without the
-// comma that ends a field.
+// The key is sent in a field of the engine's request, so it may contain only visible
+// ASCII without the comma, which ends a field.
 func (m *request) idempotencyKey(required bool) (string, error) {
 	key, err := m.field(headerIdempotencyKey)
 	if err != nil {
--- a/internal/httpfront/request_test.go
+++ b/internal/httpfront/request_test.go
@@ -13,7 +13,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// TestRequestsInPieces checks that messages read the same in whatever pieces they arrive.
+// TestRequestsInPieces checks that messages are parsed correctly however their bytes are
+// split across reads.
 func TestRequestsInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all strings.Builder
@@ -25,17 +26,17 @@
 		for i, b := range bodies {
 			c, err := readRequest(in, maxBodyBytes)
 			if err != nil || string(c.body) != b || c.path != fmt.Sprintf("/api/v2/c%d", i) || c.fields.Get("Req-Id") != fmt.Sprint(i) {
-				t.Fatalf("message %d: %+v, %v", i, c, err)
+				t.Fatalf("message %d: parsed %+v, error %v", i, c, err)
 			}
 		}
 		if in.Buffered() != 0 {
-			t.Fatalf("%d bytes are left", in.Buffered())
+			t.Fatalf("%d bytes are left after the last message", in.Buffered())
 		}
 	})
 }
 
-// TestMalformedRequests checks that malformed input ends in an error or in complete
-// messages, never in a panic or a body over the limit.
+// TestMalformedRequests checks that malformed input gives an error or complete messages,
+// never a panic or a body over the limit.
 func TestMalformedRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := lineproto.New(testprocess.NewChunkedConn(t, testprocess.MalformedMessage(t, postMessage, postMessage+postMessage, "\r\n\r\n"+postMessage)), maxHeadBytes)
@@ -45,7 +46,7 @@
 				return
 			}
 			if len(c.body) > maxBodyBytes || !strings.HasPrefix(c.path, "/") {
-				t.Fatalf("%+v", c)
+				t.Fatalf("message outside the limits: %+v", c)
 			}
 		}
 	})
@@ -63,7 +64,7 @@
 		}
 	}
 	if err := in.WaitForData(); !errors.Is(err, io.EOF) {
-		t.Errorf("after the last message: %v", err)
+		t.Errorf("after the last message: error %v, want EOF", err)
 	}
 	if in.Cap() > 64<<10 {
 		t.Errorf("the buffer keeps %d bytes", in.Cap())
--- a/internal/httpfront/response.go
+++ b/internal/httpfront/response.go
@@ -12,18 +12,18 @@
 
 var emptyBody = []byte("{}")
 
-// response is one HTTP message to a client.
+// response is an HTTP response to a client.
 type response struct {
 	status       int
 	retryAfterMS int      // 0: not sent
-	body         []byte   // JSON; nil: made of pages and pollPath
-	pages        [][]byte // rows as text
-	pollPath     string   // of the rest of the result; empty: none
+	body         []byte   // JSON; if nil, encoded from pages and pollPath
+	pages        [][]byte // rows as text; see appendRows
+	pollPath     string   // path of the result or of its next chunk; empty if none
 	closeAfter   bool
-	linger       time.Duration // for which input is read on after the last response
+	linger       time.Duration // how long input is read after the last response
 }
 
-// responseBody is the JSON of a response.
+// responseBody is the JSON body of a response.
 type responseBody struct {
 	Poll string     `json:"poll,omitempty"`
 	Page [][]string `json:"page,omitempty"`
@@ -31,7 +31,7 @@
 }
 
 func errorBody(reason string) []byte {
-	body, _ := json.Marshal(responseBody{Err: reason}) // strings always encode
+	body, _ := json.Marshal(responseBody{Err: reason}) // encoding strings can't fail
 	return body
 }
 
@@ -60,8 +60,8 @@
 	return json.Marshal(content)
 }
 
-// appendRows appends the rows of a page: a tab between columns, a line feed
-// after each row.
+// appendRows parses a page and appends its rows. In a page, columns are separated by
+// tabs and each row ends with a line feed.
 func appendRows(rows [][]string, page []byte) [][]string {
 	if len(page) == 0 {
 		return rows
--- a/internal/httpfront/routes.go
+++ b/internal/httpfront/routes.go
@@ -17,7 +17,7 @@
 	pollPrefix    = "/polls/"
 )
 
-// The names of a request's header fields.
+// The header fields of requests and responses.
 const (
 	headerRequestID      = "Req-Id"
 	headerWaitMS         = "Req-Wait-Ms"
@@ -29,7 +29,7 @@
 	headerRetryAfterMS   = "Srv-Wait-Ms"
 )
 
-// The words for the outcomes in a response's body.
+// The values of err in a response body, by outcome.
 const (
 	errorRejected = "Rejected"
 	errorFailed   = "Failed"
@@ -40,20 +40,21 @@
 	maxWaitMS   = 3600_000
 	maxMemoryMB = 1 << 20
 
-	// A response may be on its way for some time on a busy core, and after the
-	// client's deadline it is lost. So a request's deadline is earlier by this,
-	// or by a tenth of the wait if that is less.
+	// Delivery of a response may take some time on a busy core, and a response that
+	// arrives after the client's deadline is lost. So the deadline of a request is
+	// earlier than the client's by deliveryAllowanceMS, or by a tenth of the wait if
+	// that is less.
 	deliveryAllowanceMS      = 80.0
 	deliveryAllowanceDivisor = 10
 )
 
-// handle takes a message from a connection.
+// handle dispatches a message from a connection by its method and path.
 func (s *Server) handle(c *connection, m *request) {
 	s.Counters.Messages++
 	c.requestCount++
 	c.pollDueMS = 0
 	switch {
-	case c.closed || c.ending: // it was answered meanwhile, for being too slow
+	case c.closed || c.ending: // the last response is already queued, for example 408 for a slow message
 	case m.method == "GET" && m.path == healthPath:
 		s.respondHealth(c, m)
 	case m.method == "GET" && m.path == countersPath:
@@ -94,7 +95,7 @@
 	s.reject(c, malformed)
 }
 
-// reject answers a malformed message.
+// reject responds to a malformed message with an error and closes the connection.
 func (s *Server) reject(c *connection, malformed *requestError) {
 	if c.ending {
 		return
@@ -104,7 +105,7 @@
 	s.respond(c, &response{status: malformed.status, body: errorBody(malformed.reason), closeAfter: true})
 }
 
-// submit hands a request to the event loop.
+// submit parses a request and submits it to the event loop.
 func (s *Server) submit(c *connection, m *request) error {
 	r, err := s.parseRequest(m)
 	if err != nil {
@@ -126,7 +127,9 @@
 	s.exchanges[r.ID] = ex
 	s.attach(c, ex, 0)
 	query := dispatch.Query{Statement: m.body, IdempotencyKey: key}
-	err = s.loop.Submit(r, query, func(final dispatch.Response, result any) { s.handleResponse(ex, final, result) })
+	err = s.loop.Submit(r, query, func(final dispatch.Response, result any) {
+		s.handleResponse(ex, final, result)
+	})
 	if err != nil {
 		delete(s.exchanges, r.ID)
 		ex.detach()
@@ -141,14 +144,15 @@
 	s.respond(c, s.rejection())
 }
 
-// rejection is the response that tells a client to come again.
+// rejection returns a response that asks the client to retry after retryAfterMS.
 func (s *Server) rejection() *response {
 	return &response{status: 503, retryAfterMS: s.retryAfterMS, body: errorBody(errorRejected), closeAfter: true}
 }
 
-// parseRequest reads a request's fields. What is malformed or out of range is a
-// *requestError and never reaches an engine: by a wild figure the decisions
-// would learn more than by a day's true ones.
+// parseRequest parses the fields of a request. The error for a malformed or
+// out-of-range field is a *requestError. Such values never reach an engine: one
+// extreme value would influence the statistics behind the decisions more than a day
+// of valid values.
 func (s *Server) parseRequest(m *request) (dispatch.Request, error) {
 	class, found := s.classIndexes[strings.TrimPrefix(m.path, requestPrefix)]
 	if !found {
@@ -194,9 +198,9 @@
 	}, nil
 }
 
-// tenantIndex returns the index of a tenant by its name; 0 where no tenants are
-// configured. A request of a tenant that is not configured, or that names none, is
-// served like any other: only its weight in overload differs.
+// tenantIndex returns the index of the tenant with the given name, or 0 if no tenants
+// are configured. A request without a tenant, or of a tenant that is not configured,
+// is served like any other request; only its weight in overload differs.
 func (s *Server) tenantIndex(name string) int {
 	if len(s.tenantIndexes) == 0 {
 		return 0
@@ -209,7 +213,8 @@
 	return index
 }
 
-// handlePoll takes a message to a path that an earlier response gave.
+// handlePoll handles a message to a poll path: GET polls for a chunk of the result,
+// DELETE cancels the request.
 func (s *Server) handlePoll(c *connection, m *request) {
 	id, number, _ := strings.Cut(strings.TrimPrefix(m.path, pollPrefix), "/")
 	chunk, err := parseDigits(number)
@@ -231,7 +236,7 @@
 }
 
 func (s *Server) pollResult(c *connection, ex *exchange, chunk int) {
-	// A client that polls again on a new connection has lost the old one.
+	// A client that polls again on a new connection has lost its previous one.
 	s.disconnectWaiting(ex)
 	s.attach(c, ex, chunk)
 	if ex.clientDisconnected {
@@ -243,7 +248,7 @@
 	}
 }
 
-// disconnectWaiting closes the connection that waits for an exchange's answer.
+// disconnectWaiting disconnects the connection that waits for an exchange's response.
 func (s *Server) disconnectWaiting(ex *exchange) {
 	waiting := ex.waiting
 	if waiting == nil {
--- a/internal/httpfront/server.go
+++ b/internal/httpfront/server.go
@@ -1,26 +1,31 @@
-// Package httpfront is the HTTP/1.1 server for the platform's clients. It hands
-// their requests to the event loop and returns the answers; it decides nothing
-// about them.
+// Package httpfront is the HTTP/1.1 server for the platform's clients. It passes
+// their requests to the event loop and returns the responses; it makes no decisions
+// about requests.
 //
-// What it guarantees of a connection: a request is either taken, and then
-// answered, or not taken, and then the connection ends. One that arrives while
-// the connection is being closed is never taken. A client that disconnects is
-// noticed while its request is open, whatever it has sent ahead. Closing never
-// resets away a response that was written: input is read on, for a bounded time,
-// until the client closes too.
+// Guarantees for a connection:
 //
-//	server.go      the server, its options and its shutdown
-//	routes.go      what each path does, request fields
-//	exchange.go    a request from its first message to its last response
-//	request.go     reading one HTTP message
-//	response.go    writing one HTTP message
-//	connection.go  the state that a connection's goroutines share
-//	reader.go      reading a connection's messages
-//	writer.go      writing a connection's responses
-//	accept.go      accepting connections within the limit
-//	eviction.go    which connection makes room for another
-//	timeouts.go    connections and exchanges that time out
-//	counters.go    counters
+//   - A request is either accepted and responded to, or not accepted, in which case
+//     the connection ends. A request that arrives while its connection is being
+//     closed is never accepted.
+//
+//   - The disconnect of a client is noticed while its request is open, even after
+//     pipelined input.
+//
+//   - A close does not reset the connection before a written response has arrived:
+//     input is read for a limited time, until the client closes as well.
+//
+//     server.go      the server, its options and its shutdown
+//     routes.go      the handlers of the paths and the fields of a request
+//     exchange.go    a request from its first message to its last response
+//     request.go     reading an HTTP message
+//     response.go    writing an HTTP message
+//     connection.go  the state that a connection's goroutines share
+//     reader.go      reading a connection's messages
+//     writer.go      writing a connection's responses
+//     accept.go      accepting connections within the limit
+//     eviction.go    choosing and closing connections to free slots
+//     timeouts.go    timeouts of connections and exchanges
+//     counters.go    counters
 package httpfront
 
 import (
@@ -31,37 +36,37 @@
 )
 
 // EventLoop is the server's event loop. Post, PostUrgent and Now may be called
-// from any goroutine, the rest only on the event loop.
+// from any goroutine, the other methods only on the event loop.
 type EventLoop interface {
 	// Post runs f on the event loop.
 	Post(f func())
-	// PostUrgent runs f on the event loop ahead of what is posted.
+	// PostUrgent runs f on the event loop before functions queued by Post.
 	PostUrgent(f func())
 	// Now returns the loop's clock in Unix milliseconds.
 	Now() float64
 	// After runs f on the event loop after a delay.
 	After(delayMS float64, f func())
-	// Submit takes a request. Unless it returns an error, answer is called once,
-	// with the pages as [][]byte if the request was served.
+	// Submit submits a request with its query. Unless Submit returns an error, respond
+	// is called once, with the pages as [][]byte if the request was served.
 	Submit(r dispatch.Request, work any, respond func(dispatch.Response, any)) error
-	// AbandonRequest cancels a request whose client has disconnected.
+	// AbandonRequest cancels a request whose client has disconnected or no longer waits.
 	AbandonRequest(id string)
-	// SetClientDisconnected notes that a request's client may have disconnected, or that
-	// it is back. While it is away no attempt begins.
+	// SetClientDisconnected records that a request's client may have disconnected, or
+	// that it is connected again. No attempt begins while the client is disconnected.
 	SetClientDisconnected(id string, disconnected bool)
-	// DetachRequest notes that nobody waits for a request whose outcome still
-	// matters: attempts in flight go on, no further one begins.
+	// DetachRequest records that no client waits for a request any more, although its
+	// outcome still matters: running attempts continue and no further attempt begins.
 	DetachRequest(id string)
-	// CountersJSON returns all counters.
+	// CountersJSON returns all counters as JSON.
 	CountersJSON() []byte
 }
 
-// ClassLimits bound what a request of a class may ask for.
+// ClassLimits configures the limits and requirements for requests of a class.
 type ClassLimits struct {
 	Name      string
-	MaxWorkMS float64 // on one core; no engine could do more in time
-	// RequiresIdempotencyKey makes a request without a key malformed: engines
-	// recognize a repeated request by it.
+	MaxWorkMS float64 // maximum work of a request, on one core; no engine could do more in time
+	// RequiresIdempotencyKey makes a request without an idempotency key malformed.
+	// Engines recognize a repeated request by its key.
 	RequiresIdempotencyKey bool
 }
 
@@ -69,28 +74,28 @@
 type Options struct {
 	Classes        []ClassLimits
 	Tenants        []string // names, in the settings' order
-	MaxConnections int      // served at once
-	MemoryMB       int      // of the whole process; 0: not limited
-	RetryAfterMS   int      // of rejections by the server itself
+	MaxConnections int      // maximum number of connections served at the same time
+	MemoryMB       int      // memory limit of the whole process; 0 if unlimited
+	RetryAfterMS   int      // sent in rejections that the server itself makes
 }
 
 const (
 	maxBodyBytes      = 1 << 20
 	minBodyBytes      = 16 << 10
-	maxPipelinedBytes = 64 << 10 // sent ahead of a response
+	maxPipelinedBytes = 64 << 10 // input buffered while a response is awaited
 	minPipelinedBytes = 4 << 10
 
-	// The parts of the process's memory that all connections together may fill
-	// with bodies and with what is sent ahead.
+	// Bodies on all connections together may use 1/bodyMemoryDivisor of the process's
+	// memory, and pipelined input 1/pipelinedMemoryDivisor.
 	bodyMemoryDivisor      = 8
 	pipelinedMemoryDivisor = 16
 
-	// excessDivisor of the connections served may be open beyond them, so that
-	// they can be answered with a rejection.
+	// MaxConnections/excessDivisor connections may be open in addition, so that requests
+	// on the excess connections can be rejected with a response.
 	excessDivisor = 4
 )
 
-// Server is the HTTP server. Its methods are called on the event loop, except
+// Server is the HTTP server. Its methods must be called on the event loop, except
 // for Serve and ServeConn.
 type Server struct {
 	Counters Counters
@@ -102,19 +107,19 @@
 	maxBodyBytes   int
 	retryAfterMS   int
 	connections    map[*connection]bool
-	exchanges      map[string]*exchange // by request id
-	retained       []string             // ids of exchanges whose answer is retained, oldest first
+	exchanges      map[string]*exchange // by request ID
+	retained       []string             // IDs of retained exchanges, oldest first
 	shuttingDown   bool
-	draining       bool // clients are to go elsewhere
-	notAccepting   bool // no connection is accepted any more
+	draining       bool // clients are to move to other front ends
+	notAccepting   bool // the listener is closed
 	admission      sync.Mutex
-	noSlotFree     bool          // no slot came free in time; guarded by admission
-	slots          chan struct{} // a token for each connection that holds a descriptor
-	maxPipelined   int           // bytes kept of what a client sends ahead
-	maxConnections int           // that are served; a few more are rejected
+	noSlotFree     bool          // the last wait for a slot timed out; guarded by admission
+	slots          chan struct{} // one token for each connection that holds a descriptor
+	maxPipelined   int           // bytes of pipelined input buffered per connection
+	maxConnections int           // served; requests on excess connections are rejected
 }
 
-// New returns a server for classes of requests.
+// New returns a server with the given options and starts its periodic sweep on loop.
 func New(loop EventLoop, options Options) *Server {
 	slots := options.MaxConnections + options.MaxConnections/excessDivisor
 	s := &Server{
@@ -133,7 +138,7 @@
 	s.Counters.MalformedByReason = map[string]int{}
 	s.Counters.Classes = make([]Outcomes, len(options.Classes))
 	if options.MemoryMB > 0 {
-		// The memory must suffice when every connection sends as much as it may.
+		// The memory must suffice if every connection sends as much as is allowed.
 		bytesPerConnection := options.MemoryMB << 20 / max(1, slots)
 		s.maxBodyBytes = min(maxBodyBytes, max(minBodyBytes, bytesPerConnection/bodyMemoryDivisor))
 		s.maxPipelined = min(maxPipelinedBytes, max(minPipelinedBytes, bytesPerConnection/pipelinedMemoryDivisor))
@@ -150,17 +155,18 @@
 	return s
 }
 
-// SetDraining sends clients elsewhere, or ends that. While it is set, the server
-// is not healthy, each request's answer is the last on its connection, and idle
-// connections are closed.
+// SetDraining starts or stops draining, which makes clients move to other front ends.
+// While the server drains, it reports itself as unhealthy, each final response is the
+// last on its connection, and idle connections are closed.
 func (s *Server) SetDraining(draining bool) { s.draining = draining }
 
-// BeginShutdown makes the server unhealthy, as the process is about to end.
+// BeginShutdown makes the server report itself as unhealthy, as the process is about
+// to end.
 func (s *Server) BeginShutdown() { s.shuttingDown = true }
 
-// StopAccepting follows the close of the listener: idle connections are closed,
-// and each answer is the last on its connection, so that no request comes that
-// the end of the process would cut off.
+// StopAccepting must be called after the listener is closed. It closes idle
+// connections and makes each final response the last on its connection, so that no
+// request arrives that the end of the process would interrupt.
 func (s *Server) StopAccepting() {
 	s.notAccepting = true
 	for c := range s.connections {
@@ -171,7 +177,7 @@
 	s.closeTimedOut()
 }
 
-// Idle reports whether no client is owed anything and all connections have
+// Idle reports whether no client waits for a response and all connections have
 // ended.
 func (s *Server) Idle() bool {
 	for _, ex := range s.exchanges {
--- a/internal/httpfront/server_test.go
+++ b/internal/httpfront/server_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// testOptions are those of a server with one class of requests.
+// testOptions configure a server with one class of requests.
 var testOptions = Options{Classes: []ClassLimits{{Name: "lookup", MaxWorkMS: 1e6}}, MaxConnections: 10, RetryAfterMS: 500}
 
 // newFakeServer returns a server, its event loop, and a function that connects a client.
@@ -66,8 +66,8 @@
 	server.handle(c, &request{method: "POST", path: "/api/v2/lookup", fields: map[string][]string{"Req-Id": {testID}, "Req-Wait-Ms": {"9000"}}, body: []byte("x")})
 }
 
-// submitSlow submits a request whose answer takes long, and returns the path that its
-// client is given to poll.
+// submitSlow submits a request that is not completed before the poll timer, and returns
+// the poll path that its client is sent.
 func submitSlow(loop *fakeLoop, server *Server, c *connection) (path string) {
 	submit(server, c)
 	loop.runTimers()
@@ -78,29 +78,29 @@
 	server.handle(c, &request{method: method, path: path})
 }
 
-// TestPollOnNewConnection checks that a request that takes long is answered with a
-// path, and that a poll repeated on a new connection finds the answer until it is
+// TestPollOnNewConnection checks that the client of a request that takes long is sent a
+// poll path, and that polls repeated on new connections receive the response until it is
 // released.
 func TestPollOnNewConnection(t *testing.T) {
 	loop, server, dial := newFakeServer()
 	a := dial()
 	submit(server, a)
-	loop.runTimers() // the answer takes long
+	loop.runTimers() // no response before the poll timer
 	r := <-a.responses
 	if r.pollPath != "/polls/"+testID+"/0" || r.pages != nil {
-		t.Fatalf("%+v", r)
+		t.Fatalf("response %+v, want a poll path and no pages", r)
 	}
 	get(server, a, "GET", r.pollPath)
-	server.removeConnection(a) // the connection breaks before the answer; the client has a path
+	server.removeConnection(a) // the connection breaks before the response; the client has a poll path
 	if len(loop.abandoned) != 0 {
-		t.Fatal("abandoned though the client has a path")
+		t.Fatal("the request was abandoned although its client has a poll path")
 	}
 	b := dial()
 	get(server, b, "GET", r.pollPath)
 	loop.respond[testID](dispatch.Response{RequestID: testID, Outcome: dispatch.Served}, [][]byte{[]byte("a\tb\tc\n")})
 	for range 2 { // the second poll repeats the first
 		if got := <-b.responses; got.status != 200 || len(got.pages) != 1 || got.pollPath != "" {
-			t.Fatalf("%+v", got)
+			t.Fatalf("response %+v, want status 200, one page and no poll path", got)
 		}
 		b = dial()
 		get(server, b, "GET", r.pollPath)
@@ -108,19 +108,19 @@
 	<-b.responses
 	loop.runTimers()
 	if len(server.exchanges) != 0 || len(server.retained) != 0 {
-		t.Errorf("%d open and %d retained", len(server.exchanges), len(server.retained))
+		t.Errorf("%d exchanges open and %d retained, want none", len(server.exchanges), len(server.retained))
 	}
 }
 
-// TestAbandon checks that DELETE abandons a request, and so does a disconnect before
-// there is a path.
+// TestAbandon checks that a request is abandoned by DELETE and by a disconnect before its
+// client has a poll path.
 func TestAbandon(t *testing.T) {
 	loop, server, dial := newFakeServer()
 	a := dial()
 	submit(server, a)
 	server.removeConnection(a)
 	if len(loop.abandoned) != 1 {
-		t.Error("a disconnect did not abandon")
+		t.Error("a disconnect did not abandon the request")
 	}
 	a = dial()
 	path := submitSlow(loop, server, a)
@@ -128,11 +128,12 @@
 	b := dial()
 	get(server, b, "DELETE", path)
 	if len(loop.abandoned) != 2 || !a.closed || (<-b.responses).status != 200 || len(server.exchanges) != 0 {
-		t.Errorf("DELETE: %v, %d open", loop.abandoned, len(server.exchanges))
+		t.Errorf("DELETE: abandoned %v, %d exchanges open", loop.abandoned, len(server.exchanges))
 	}
 }
 
-// TestChunks checks that a long result goes out in several responses, each page once.
+// TestChunks checks that a long result is sent in several responses, with each page in
+// exactly one of them.
 func TestChunks(t *testing.T) {
 	loop, server, dial := newFakeServer()
 	c := dial()
@@ -148,22 +149,23 @@
 		get(server, c, "GET", r.pollPath)
 	}
 	if n != 3 {
-		t.Errorf("%d pages, want 3", n)
+		t.Errorf("received %d pages, want 3", n)
 	}
 }
 
-// isClosed reports whether the server has closed the connection: its writer ends it, and
-// its reader takes no message any more.
+// isClosed reports whether the server has closed the connection. It panics if the reader
+// of a closed connection would still accept a message.
 func isClosed(c *connection) bool {
 	if c.closed && !c.ending && c.setState(stateUnparsed) {
-		panic("closed, and a message would still be taken")
+		panic("a closed connection would still accept a message")
 	}
 	return c.closed
 }
 
-// TestEvictionOrder checks the order of eviction: first a connection whose last
-// response is written, then one that has sent nothing for a while, then the one idle
-// for longest, then one whose message does not end, and never one with a request open.
+// TestEvictionOrder checks the order of eviction: first a connection whose last response
+// is written, then a connection without any message for a while, then the longest idle
+// connection, then a connection with an incomplete message. A connection with an open
+// request is never evicted.
 func TestEvictionOrder(t *testing.T) {
 	loop, server, dial := newFakeServer()
 	var all []*connection
@@ -176,7 +178,7 @@
 	all[0].setState(stateRequest)
 	all[5].requestCount = 0
 	all[7].ending = true
-	all[8].setState(stateRequest) // its message does not end
+	all[8].setState(stateRequest) // its message stays incomplete
 	all[8].readStartedMS.Store(1000)
 	loop.now += 2 * evictableAfterMS
 	for k, want := range []int{7, 5, 1, 2} {
@@ -186,31 +188,31 @@
 			next.setState(stateRequest)
 		}
 		if !isClosed(all[want]) {
-			t.Errorf("for connection %d, %d was not closed", k, want)
+			t.Errorf("new connection %d: connection %d was not closed", k, want)
 		}
 	}
 	for _, k := range []int{0, 3, 4, 6, 8, 9} {
 		if isClosed(all[k]) {
-			t.Errorf("%d was closed", k)
+			t.Errorf("connection %d was closed", k)
 		}
 		all[k].setState(stateRequest)
 	}
 	if c := dial(); c.overLimit || !isClosed(all[8]) || (<-all[8].responses).status != 503 {
-		t.Error("a message that does not end keeps its slot")
+		t.Error("a connection with an incomplete message was not evicted with status 503")
 	} else {
 		c.setState(stateRequest)
 	}
 	if c := dial(); !c.overLimit {
-		t.Error("with all slots busy one more is within the limit")
+		t.Error("with all slots busy, an additional connection is not over the limit")
 	}
 	if len(server.connections) != 11 {
-		t.Errorf("%d connections for 10 slots and one over the limit", len(server.connections))
+		t.Errorf("%d connections, want 10 and one over the limit", len(server.connections))
 	}
 }
 
-// TestStalledConnectionsAreClosed checks that silent clients are closed, that those whose
-// message does not end get a response, and that idle ones keep their connection for as
-// long as clients do.
+// TestStalledConnectionsAreClosed checks that connections without any message are closed,
+// that clients with an incomplete message receive a 408, and that idle connections stay
+// open for idleTimeoutMS, which is longer than clients keep them.
 func TestStalledConnectionsAreClosed(t *testing.T) {
 	loop, server, dial := newFakeServer()
 	silent := dial()
@@ -225,18 +227,18 @@
 	loop.now += requestTimeoutMS + 1
 	loop.runTimers()
 	if r := <-slow.responses; r.status != 408 || !r.closeAfter || !isClosed(silent) || isClosed(idle) || isClosed(expired) {
-		t.Errorf("%+v, silent %v, idle %v %v", r, isClosed(silent), isClosed(idle), isClosed(expired))
+		t.Errorf("response %+v; closed: silent %v, idle %v, expired %v", r, isClosed(silent), isClosed(idle), isClosed(expired))
 	}
-	server.handle(slow, &request{method: "GET", path: "/-/healthy"}) // its message is complete after all
+	server.handle(slow, &request{method: "GET", path: "/-/healthy"}) // its message is completed after the response
 	if len(slow.responses) != 0 {
-		t.Error("answered twice")
+		t.Error("a second response was sent")
 	}
 	loop.now = 1000 + idleTimeoutMS + 1
 	loop.runTimers()
 	if isClosed(idle) || !isClosed(expired) {
-		t.Errorf("idle: %v, idle for too long: %v", isClosed(idle), isClosed(expired))
+		t.Errorf("closed: idle %v, expired %v; want false, true", isClosed(idle), isClosed(expired))
 	}
 	if c := server.Counters; c.ClosedNoMessage != 1 || c.ClosedSlow != 1 || c.ClosedIdle != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counters %+v, want ClosedNoMessage, ClosedSlow and ClosedIdle 1", c)
 	}
 }
--- a/internal/httpfront/tenant_test.go
+++ b/internal/httpfront/tenant_test.go
@@ -7,16 +7,16 @@
 	"dewhill/control"
 )
 
-// TestTenant checks which tenant a request counts as: the one that it names, and none
-// where it names none or one that is not configured. It is taken in each case, but for
-// one that names two.
+// TestTenant checks to which tenant a request is assigned: the tenant that it names, or
+// no tenant if it names none or one that is not configured. The request is submitted in
+// each case, except if it names two tenants.
 func TestTenant(t *testing.T) {
 	tenants := []string{"north", "south"}
 	cases := []struct {
 		name, head   string
 		tenants      []string
 		status, want int
-		unknown      int // requests counted as of no tenant
+		unknown      int // requests counted as without a configured tenant
 	}{
 		{"first", "Req-Owner: north\r\n", tenants, 0, 0, 0},
 		{"second", "Req-Owner: south\r\n", tenants, 0, 1, 0},
@@ -38,13 +38,13 @@
 			}
 			request, submitted := loop.submitted[id]
 			if submitted != (c.status == 0) {
-				t.Fatalf("submitted: %v", submitted)
+				t.Fatalf("submitted %v, want %v", submitted, c.status == 0)
 			}
 			if request.Tenant != c.want {
 				t.Errorf("tenant %d, want %d", request.Tenant, c.want)
 			}
 			if server.Counters.UnknownTenants != c.unknown {
-				t.Errorf("%d requests of no tenant are counted, want %d", server.Counters.UnknownTenants, c.unknown)
+				t.Errorf("%d requests counted without a tenant, want %d", server.Counters.UnknownTenants, c.unknown)
 			}
 		})
 	}
--- a/internal/httpfront/timeouts.go
+++ b/internal/httpfront/timeouts.go
@@ -8,11 +8,12 @@
 
 const (
 	sweepIntervalMS  = 100.0
-	requestTimeoutMS = 2000.0 // for a message to be complete; of a connection's first one from its accept on
-	idleTimeoutMS    = 5000.0 // without a message: clients close after 4 s themselves
+	requestTimeoutMS = 2000.0 // for a complete message; for the first message, counted from the accept
+	idleTimeoutMS    = 5000.0 // without a message; clients close idle connections after 4 s
 )
 
-// sweep ends connections and exchanges that have timed out.
+// sweep closes connections and ends exchanges that have timed out. It runs every
+// sweepIntervalMS.
 func (s *Server) sweep() {
 	s.closeTimedOut()
 	s.loop.After(sweepIntervalMS, s.sweep)
@@ -37,7 +38,7 @@
 	readStarted := float64(c.readStartedMS.Load())
 	reading := readStarted > 0
 	if c.requestCount == 0 {
-		readStarted = idleSince // sending byte by byte does not prolong it
+		readStarted = idleSince // sending byte by byte does not extend the timeout
 	}
 	writeStarted := float64(c.writeStartedMS.Load())
 	switch {
@@ -59,8 +60,8 @@
 	}
 }
 
-// mustDrain reports whether an idle connection must close because the
-// server drains or ends.
+// mustDrain reports whether an idle connection must be closed because the server
+// drains or shuts down.
 func (s *Server) mustDrain(c *connection, idle float64) bool {
 	if s.notAccepting && c.requestCount > 0 {
 		return true
@@ -68,9 +69,9 @@
 	return (s.notAccepting || s.draining) && idle > evictableAfterMS
 }
 
-// closeIfIdle closes a connection if it is idle, counts it, and reports whether it
-// did. Bytes that lie unread count as a message: on a busy core they may lie
-// there for long.
+// closeIfIdle closes a connection if it is idle, increments counter, and reports
+// whether the connection was closed. A connection with unread input is not idle: on a
+// busy core a message may stay unread for a long time.
 func (s *Server) closeIfIdle(c *connection, counter *int, linger time.Duration) bool {
 	if lineproto.HasUnread(c.socket) || !c.state.CompareAndSwap(0, stateClosed) {
 		return false
@@ -81,14 +82,16 @@
 	return true
 }
 
-// endIfNotPolled ends an exchange whose client has not polled in time.
+// endIfNotPolled ends an exchange whose client has not polled in time. During shutdown
+// an exchange without a waiting message is abandoned; otherwise the request of a
+// disconnected client is detached.
 func (s *Server) endIfNotPolled(ex *exchange, now float64) {
 	if ex.completed || now <= ex.pollDueMS {
 		return
 	}
 	switch {
 	case s.notAccepting && ex.waiting == nil:
-		s.abandon(ex) // its client can't come back
+		s.abandon(ex) // its client can't connect again
 	case ex.clientDisconnected:
 		ex.clientDisconnected = false
 		s.loop.DetachRequest(ex.id)
--- a/internal/httpfront/writer.go
+++ b/internal/httpfront/writer.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	writeTimeoutMS = 5000            // for a response to be read
-	responseLinger = 2 * time.Second // for which input is read after the last response
+	writeTimeoutMS = 5000            // for the client to read a response
+	responseLinger = 2 * time.Second // how long input is read after the last response
 )
 
-// wakeDeadline is a read deadline in the past.
+// wakeDeadline is a read deadline in the past, which wakes a blocked reader.
 var wakeDeadline = time.Unix(1, 0)
 
-// respond queues a response. The queue holds more than a client can wait for: if
-// it is full, the connection is of no use.
+// respond queues a response. The queue holds more responses than a client can wait
+// for; if it is full, the connection is disconnected.
 func (s *Server) respond(c *connection, r *response) {
 	if c.closed {
 		return
