--- a/internal/lease/persistence.go
+++ b/internal/lease/persistence.go
@@ -3,19 +3,19 @@
 import "encoding/hex"
 
 const (
-	// recordKeyPrefix precedes the hexadecimal key of a record on the disk.
+	// recordKeyPrefix precedes the hexadecimal key of a record on disk.
 	recordKeyPrefix = "claim/"
-	// voterMarkKey is the key under which the disk says that it has all votes.
+	// voterMarkKey is the key of a mark that all votes of this front end are on disk.
 	voterMarkKey = "voter"
 )
 
-// persistedAuthor stands for the author in persisted records, which have none.
-const persistedAuthor = 1
+// persistedSenderID is the sender ID in persisted records, which have no sender.
+const persistedSenderID = 1
 
 func persistenceKey(key Key) string { return recordKeyPrefix + hex.EncodeToString(key[:]) }
 
-// restore reads what an earlier process has persisted. Records that cannot be
-// decoded are skipped.
+// restore reads the records that an earlier process has persisted. It skips records
+// that cannot be decoded.
 func (m *Manager) restore() {
 	hasVoterMark := false
 	for name, encoded := range m.options.Persisted {
@@ -37,42 +37,43 @@
 	m.recovery.canVote = hasVoterMark
 }
 
-// persist writes a record to the disk, and then calls a function. Without a disk
-// it calls it at once.
-func (m *Manager) persist(r *record, then func()) {
+// persist writes a record to disk and calls done when it is written. If the options
+// are not Durable, it calls done at once.
+func (m *Manager) persist(r *record, done func()) {
 	if !m.options.Durable {
-		then()
+		done()
 		return
 	}
-	header := &message{verb: verbRecords, author: persistedAuthor}
-	token := m.write(persistenceKey(r.key), m.copyOf(r).append(header.append(nil)))
-	m.onPersisted[token] = then
+	header := &message{verb: verbRecords, senderID: persistedSenderID}
+	token := m.emitPersist(persistenceKey(r.key), m.copyOf(r).append(header.append(nil)))
+	m.onPersisted[token] = done
 }
 
-// persisted goes on with what waited for the disk.
-func (m *Manager) persisted(token uint64) {
-	then, waiting := m.onPersisted[token]
-	if waiting {
-		then()
+// handlePersisted calls the function that waits for a record to be written.
+func (m *Manager) handlePersisted(token uint64) {
+	done, found := m.onPersisted[token]
+	if found {
+		done()
 		delete(m.onPersisted, token)
 	}
 }
 
-// deletePersisted deletes an evicted record from the disk.
+// deletePersisted deletes an evicted record from disk.
 func (m *Manager) deletePersisted(r *record) {
 	if m.options.Durable {
-		m.write(persistenceKey(r.key), nil)
+		m.emitPersist(persistenceKey(r.key), nil)
 	}
 }
 
-// persistVoterMark notes on the disk that it has all votes from now on.
+// persistVoterMark writes the mark that all votes from now on are on disk.
 func (m *Manager) persistVoterMark() {
 	if m.options.Durable {
-		m.write(voterMarkKey, []byte{1})
+		m.emitPersist(voterMarkKey, []byte{1})
 	}
 }
 
-func (m *Manager) write(key string, encoded []byte) (token uint64) {
+// emitPersist adds a Persist effect. A nil record deletes the key.
+func (m *Manager) emitPersist(key string, encoded []byte) (token uint64) {
 	m.persistToken++
 	m.effects.Persists = append(m.effects.Persists, Persist{Token: m.persistToken, Key: key, Record: encoded})
 	return m.persistToken
