--- a/control/permissions_test.go
+++ b/control/permissions_test.go
@@ -54,7 +54,7 @@
 // of itself is true. (TestRunawayAttemptIsRetried covers the same for progress reports.)
 func TestUnannouncedLoadReportsAreUsed(t *testing.T) {
 	s := oneGateway()
-	if s.LoadReportsInAnswers || s.LoadReportsInProbes {
+	if s.LoadReportsInReplies || s.LoadReportsInProbes {
 		t.Fatal("the settings enable load reports")
 	}
 	tr := newScenario(t, s, engines("a")...)
--- a/internal/demand/compat_test.go
+++ b/internal/demand/compat_test.go
@@ -8,11 +8,12 @@
 	"dewhill/internal/goldentest"
 )
 
-// compatNowMS is so late that demand is sent as it was recorded.
+// compatNowMS is so long after the start that the steady-state correction of the recorded
+// demand has no effect.
 const compatNowMS = 1e9
 
-// TestCompatMessages: gateways of the version before receive these messages of
-// demand and loads. Such a message has no header: it is a complete datagram.
+// TestCompatMessages guards the encoding of messages, which gateways of the previous
+// version must be able to decode. A message has no header: it is a complete datagram.
 func TestCompatMessages(t *testing.T) {
 	var many []Load
 	for i := range 30 {
@@ -29,38 +30,39 @@
 		{Name: "longest", Value: state([]float64{1, 2, 3}, many...)},
 	}
 	encode := func(state peerState) []byte {
-		ledger := New(8, 2, true)
-		ledger.Start(0, 0)
-		ledger.ownDemand = slices.Clone(state.demand)
-		return ledger.Encode(compatNowMS, slices.Values(state.loads))
+		tracker := New(8, 2, true)
+		tracker.Start(0, 0)
+		tracker.ownDemand = slices.Clone(state.demand)
+		return tracker.Encode(compatNowMS, slices.Values(state.loads))
 	}
 	decode := func(message []byte) (peerState, error) {
-		ledger := New(8, 2, true)
-		ledger.Start(0, 0)
-		ledger.Receive(compatNowMS, 1, message)
-		return ledger.peers[1], nil
+		tracker := New(8, 2, true)
+		tracker.Start(0, 0)
+		tracker.Receive(compatNowMS, 1, message)
+		return tracker.peers[1], nil
 	}
 	goldentest.Check(t, "messages.txt", cases, encode, decode)
 }
 
-// TestCompatOrder: the work comes first, then the requests of each tenant. A message
-// has at most 256 bytes, and in a fleet of more than 8 gateways holds no loads.
+// TestCompatOrder guards the order of the demand vector in a message: the work comes
+// first, then the requests of each tenant. A message has at most 256 bytes, and holds no
+// loads in a fleet of more than 8 gateways.
 func TestCompatOrder(t *testing.T) {
 	golden := goldentest.Read(t, "order.txt")
 	for name, gatewayCount := range map[string]int{"small-fleet": 8, "large-fleet": 9} {
 		t.Run(name, func(t *testing.T) {
-			ledger := New(gatewayCount, 2, true)
-			ledger.Start(0, 0)
-			ledger.RecordDemand(40, 1)
-			ledger.RecordDemand(2.5, 0)
-			ledger.RecordDemand(0, 1)
+			tracker := New(gatewayCount, 2, true)
+			tracker.Start(0, 0)
+			tracker.RecordDemand(40, 1)
+			tracker.RecordDemand(2.5, 0)
+			tracker.RecordDemand(0, 1)
 			loads := make([]Load, 100)
 			for i := range loads {
 				loads[i] = Load{Engine: 1, Dataset: uint32(i)}
 			}
-			got := ledger.Encode(5000, slices.Values(loads))
+			got := tracker.Encode(5000, slices.Values(loads))
 			if !bytes.Equal(got, golden[name]) || len(got) > 256 {
-				t.Errorf("encoded %x, golden %x", got, golden[name])
+				t.Errorf("encoded %x, golden message %x; at most 256 bytes", got, golden[name])
 			}
 		})
 	}
