--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -9,13 +9,13 @@
 
 // leaseAdapter connects this front end's part in granting leases of loads.
 type leaseAdapter struct {
-	cluster    *Cluster
-	manager    *lease.Manager
-	timer      timer
-	waiting    map[uint64]func(lease.Decision) // by ticket
-	lastTicket uint64
-	canVote    bool
-	granted    int // leases that have not been released
+	cluster       *Cluster
+	manager       *lease.Manager
+	timer         timer
+	waiting       map[uint64]func(lease.Decision) // by request ID
+	lastRequestID uint64
+	canVote       bool
+	granted       int // leases that have not been released
 }
 
 func newLeaseAdapter(c *Cluster, options *Options) *leaseAdapter {
@@ -49,11 +49,11 @@
 
 // complete gives a decision to the request that it belongs to.
 func (l *leaseAdapter) complete(decision lease.Decision) {
-	then := l.waiting[decision.Ticket]
+	then := l.waiting[decision.RequestID]
 	if then == nil {
 		return
 	}
-	delete(l.waiting, decision.Ticket)
+	delete(l.waiting, decision.RequestID)
 	if decision.Kind == lease.Granted {
 		l.granted++
 	}
@@ -65,12 +65,12 @@
 // the load before. then is called once, in the loop.
 func (c *Cluster) AcquireLease(k lease.Key, fingerprint uint64, withinMS float64, isRetry bool, then func(lease.Decision)) {
 	l := c.leases
-	l.lastTicket++
-	l.waiting[l.lastTicket] = then
+	l.lastRequestID++
+	l.waiting[l.lastRequestID] = then
 	l.apply(lease.AcquireRequest{
 		Key:         k,
 		Fingerprint: fingerprint,
-		Ticket:      l.lastTicket,
+		RequestID:   l.lastRequestID,
 		DeadlineMS:  c.host.Now() + withinMS,
 		IsRetry:     isRetry,
 	})
--- a/internal/cluster/overrides.go
+++ b/internal/cluster/overrides.go
@@ -34,8 +34,8 @@
 	quorum        WriteQuorum
 	timer         timer
 	caughtUp      bool
-	writes        map[uint64]chan<- WriteResult // waiting for a result, by ticket
-	lastTicket    uint64
+	writes        map[uint64]chan<- WriteResult // waiting for a result, by request ID
+	lastRequestID uint64
 	loggedChanges int
 }
 
@@ -84,13 +84,13 @@
 
 // complete answers the write that a result belongs to.
 func (o *overrideAdapter) complete(result replication.WriteResult) {
-	answer := o.writes[result.Ticket]
+	answer := o.writes[result.RequestID]
 	if answer == nil {
 		return
 	}
 	// The channel has capacity for it: see WriteOverride.
 	answer <- WriteResult{Replicas: result.Replicas, Required: o.requiredReplicas(), OK: result.OK}
-	delete(o.writes, result.Ticket)
+	delete(o.writes, result.RequestID)
 }
 
 // noteCaughtUp notifies the watcher once, when the replica has caught up.
@@ -142,14 +142,14 @@
 		return fmt.Errorf("the name is longer than %d bytes", replication.MaxIDBytes)
 	}
 	o := c.overrides
-	o.lastTicket++
-	o.writes[o.lastTicket] = answer
+	o.lastRequestID++
+	o.writes[o.lastRequestID] = answer
 	o.apply(replication.Write{
 		Key:              k,
 		Disabled:         out,
 		RequiredReplicas: o.requiredReplicas(),
 		WallClockMS:      float64(time.Now().UnixMilli()),
-		Ticket:           o.lastTicket,
+		RequestID:        o.lastRequestID,
 	})
 	return nil
 }
--- a/internal/lease/events.go
+++ b/internal/lease/events.go
@@ -31,7 +31,7 @@
 	AcquireRequest struct {
 		Key         Key
 		Fingerprint uint64 // hash of the load's content
-		Ticket      uint64
+		RequestID   uint64
 		DeadlineMS  float64
 		IsRetry     bool // the client marked the attempt as a retry
 	}
--- a/internal/lease/fleet_test.go
+++ b/internal/lease/fleet_test.go
@@ -16,20 +16,20 @@
 // they have a final response.
 type fleet struct {
 	virtualclock.Clock
-	rng       *rand.Rand
-	options   Options
-	managers  []*Manager // nil: the process is down
-	paused    []bool
-	deferred  [][]func() // callbacks until a paused process resumes
-	partition []int      // front ends with equal numbers reach one another
-	lossRate  float64
-	intercept func(from, to int, msg []byte) bool // true: the message is lost
-	disks     []map[string][]byte                 // nil: the front end has no disk
-	timers    []*virtualclock.Timer
-	waiting   map[uint64]func(Decision) // by ticket
-	ticket    uint64
-	runs      map[Key][]string // names of the attempts that ran a load
-	grantMS   []float64        // latencies of grants
+	rng           *rand.Rand
+	options       Options
+	managers      []*Manager // nil: the process is down
+	paused        []bool
+	deferred      [][]func() // callbacks until a paused process resumes
+	partition     []int      // front ends with equal numbers reach one another
+	lossRate      float64
+	intercept     func(from, to int, msg []byte) bool // true: the message is lost
+	disks         []map[string][]byte                 // nil: the front end has no disk
+	timers        []*virtualclock.Timer
+	waiting       map[uint64]func(Decision) // by ticket
+	lastRequestID uint64
+	runs          map[Key][]string // names of the attempts that ran a load
+	grantMS       []float64        // latencies of grants
 }
 
 // maxMessageBytes is the limit that messages of the simulated fleet must not exceed.
@@ -143,8 +143,8 @@
 	}
 	f.timers[i].Reset()
 	for _, d := range decisions {
-		if decided := f.waiting[d.Ticket]; decided != nil {
-			delete(f.waiting, d.Ticket)
+		if decided := f.waiting[d.RequestID]; decided != nil {
+			delete(f.waiting, d.RequestID)
 			decided(d)
 		}
 	}
@@ -207,9 +207,9 @@
 // request requests a lease from a front end and runs the fleet for runMS. If there is
 // no decision by then, the returned decision's ticket is 0.
 func (f *fleet) request(i int, request AcquireRequest, timeoutMS, runMS float64) (decision Decision) {
-	f.ticket++
-	f.waiting[f.ticket] = func(got Decision) { decision = got }
-	request.Ticket = f.ticket
+	f.lastRequestID++
+	f.waiting[f.lastRequestID] = func(got Decision) { decision = got }
+	request.RequestID = f.lastRequestID
 	request.DeadlineMS = f.NowMS + timeoutMS
 	f.apply(i, request)
 	f.Run(runMS)
@@ -276,14 +276,14 @@
 		a.scheduleRetry()
 		return
 	}
-	f.ticket++
-	a.name = fmt.Sprintf("n%d#%d", i, f.ticket)
+	f.lastRequestID++
+	a.name = fmt.Sprintf("n%d#%d", i, f.lastRequestID)
 	f.After(4000, func() { a.respond("") })
-	f.waiting[f.ticket] = a.decided
+	f.waiting[f.lastRequestID] = a.decided
 	f.apply(i, AcquireRequest{
 		Key:         c.key,
 		Fingerprint: c.fingerprint,
-		Ticket:      f.ticket,
+		RequestID:   f.lastRequestID,
 		DeadlineMS:  f.NowMS + 3000,
 		IsRetry:     c.marksRetry && c.attempts > 1,
 	})
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -14,7 +14,7 @@
 	if d := request(0, 1, 5, true); d.Kind != Forgotten {
 		t.Errorf("an unknown key marked as a retry: %+v", d)
 	}
-	if d := request(0, 1, 5, false); d.Ticket == 0 || d.Kind != Granted || d.ElapsedMS > 300 {
+	if d := request(0, 1, 5, false); d.RequestID == 0 || d.Kind != Granted || d.ElapsedMS > 300 {
 		t.Errorf("a new key: %+v", d)
 	}
 	if d := request(1, 1, 6, true); d.Kind != Conflict {
@@ -33,7 +33,7 @@
 	}
 	f.setPartition(0, 0, 0, 0, 0)
 	f.Run(3000)
-	if d := request(1, 2, 5, false); d.Ticket == 0 || d.Kind != Granted {
+	if d := request(1, 2, 5, false); d.RequestID == 0 || d.Kind != Granted {
 		t.Errorf("after the partition has healed: %+v", d)
 	}
 	f.kill(1)
@@ -59,7 +59,7 @@
 	n := 0
 	for b.Loop() {
 		n++
-		f.apply(n%5, AcquireRequest{Key: testKey(n), Fingerprint: 1, Ticket: uint64(n), DeadlineMS: f.NowMS + 1000})
+		f.apply(n%5, AcquireRequest{Key: testKey(n), Fingerprint: 1, RequestID: uint64(n), DeadlineMS: f.NowMS + 1000})
 		f.Run(150)
 	}
 }
--- a/internal/lease/requests.go
+++ b/internal/lease/requests.go
@@ -64,7 +64,7 @@
 
 // Decision is the result of an AcquireRequest.
 type Decision struct {
-	Ticket    uint64 // of the request
+	RequestID uint64 // of the request
 	Kind      DecisionKind
 	Outcome   []byte // of the load, with AlreadyCompleted
 	ElapsedMS float64
@@ -195,7 +195,7 @@
 	op.finished = true
 	m.Counters.countDecision(kind)
 	m.effects.Decisions = append(m.effects.Decisions, Decision{
-		Ticket:    op.request.Ticket,
+		RequestID: op.request.RequestID,
 		Kind:      kind,
 		Outcome:   outcome,
 		ElapsedMS: m.nowMS - op.startedAtMS,
--- a/internal/lease/safety_test.go
+++ b/internal/lease/safety_test.go
@@ -156,7 +156,7 @@
 // again. Otherwise, the lease would be granted twice.
 func TestNoVoteWithoutState(t *testing.T) {
 	f, before, after := simulateLostVote(t)
-	wasGranted := func(d Decision) bool { return d.Ticket != 0 && d.Kind == Granted }
+	wasGranted := func(d Decision) bool { return d.RequestID != 0 && d.Kind == Granted }
 	if wasGranted(before) && wasGranted(after) && f.managers[1].CanVote() {
 		t.Errorf("the lease is granted twice: %+v, %+v", before, after)
 	}
@@ -167,10 +167,10 @@
 // that lost its votes does not vote.
 func TestNoGrantAfterLostVote(t *testing.T) {
 	f, before, after := simulateLostVote(t)
-	if before.Ticket != 1 || before.Kind != Granted {
+	if before.RequestID != 1 || before.Kind != Granted {
 		t.Fatalf("before the restart: %+v, want a grant", before)
 	}
-	if after.Ticket != 2 || after.Kind == Granted {
+	if after.RequestID != 2 || after.Kind == Granted {
 		t.Errorf("after the restart: %+v, want a decision that grants nothing", after)
 	}
 	if f.managers[1].CanVote() {
@@ -205,7 +205,7 @@
 		t.Fatalf("front end 1 votes: %v; %d proposals are delayed", f.managers[1].CanVote(), len(delayed))
 	}
 	f.intercept = func(from, to int, _ []byte) bool { return from == 2 || to == 2 } // 2 has promised too
-	if d := f.request(3, request, 2000, 2100); d.Ticket == 0 || d.Kind != Granted {
+	if d := f.request(3, request, 2000, 2100); d.RequestID == 0 || d.Kind != Granted {
 		t.Fatalf("request to front end 3: %+v, want a grant", d)
 	}
 	f.intercept = nil
@@ -214,7 +214,7 @@
 	}
 	f.setPartition(0, 0, 0, 0, 0)
 	f.Run(4000)
-	if d := f.request(0, request, 2000, 2100); d.Ticket != 0 && d.Kind == Granted {
+	if d := f.request(0, request, 2000, 2100); d.RequestID != 0 && d.Kind == Granted {
 		t.Error("a lease that is held is granted again")
 	}
 }
--- a/internal/replication/events.go
+++ b/internal/replication/events.go
@@ -27,13 +27,13 @@
 	// MembersChanged replaces the view of the fleet.
 	MembersChanged membership.Roster
 	// Write is an operator's override. It is answered by a WriteResult with the
-	// same ticket, within Times.WriteTimeoutMS.
+	// same request ID, within Times.WriteTimeoutMS.
 	Write struct {
 		Key              Key
 		Disabled         bool
 		RequiredReplicas int     // how many front ends must hold it, with this one
 		WallClockMS      float64 // since 1970
-		Ticket           uint64
+		RequestID        uint64
 	}
 	// Persisted reports that the Persist effect with the token is on the disk.
 	Persisted struct{ Token uint64 }
@@ -64,9 +64,9 @@
 // WriteResult answers a Write: how many front ends hold it, and whether these are
 // as many as required.
 type WriteResult struct {
-	Ticket   uint64
-	Replicas int
-	OK       bool
+	RequestID uint64
+	Replicas  int
+	OK        bool
 }
 
 // Effects are the outputs of one event. They are valid until the next event.
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -158,6 +158,6 @@
 		Disabled:         disabled,
 		RequiredReplicas: required,
 		WallClockMS:      1.7e12 + f.NowMS,
-		Ticket:           uint64(len(f.results)),
+		RequestID:        uint64(len(f.results)),
 	})
 }
--- a/internal/replication/writes.go
+++ b/internal/replication/writes.go
@@ -20,7 +20,7 @@
 	acknowledged map[Peer]bool
 	persisted    bool // on this front end's own disk, where there is one
 	required     int
-	ticket       uint64
+	requestID    uint64
 	unanswered   bool // the operator waits for the result
 }
 
@@ -56,7 +56,7 @@
 		nextSendMS:   r.nowMS,
 		acknowledged: map[Peer]bool{},
 		required:     ev.RequiredReplicas,
-		ticket:       ev.Ticket,
+		requestID:    ev.RequestID,
 		unanswered:   true,
 	}
 	r.pending = append(r.pending, p)
@@ -143,7 +143,7 @@
 	if !isHeld {
 		r.Counters.WritesFailed++
 	}
-	r.effects.Results = append(r.effects.Results, WriteResult{Ticket: p.ticket, Replicas: p.replicas(), OK: isHeld})
+	r.effects.Results = append(r.effects.Results, WriteResult{RequestID: p.requestID, Replicas: p.replicas(), OK: isHeld})
 }
 
 // receiveAck notes that a member holds a write.
--- a/internal/replication/writes_test.go
+++ b/internal/replication/writes_test.go
@@ -16,7 +16,7 @@
 	r.Apply(0, Start{})
 	r.Apply(0, MembersChanged{Alive: others[:1], All: others, Size: 5})
 	write := func(nowMS float64) *Effects {
-		return r.Apply(nowMS, Write{Key: key, Disabled: true, RequiredReplicas: 3, WallClockMS: 1e12, Ticket: 8})
+		return r.Apply(nowMS, Write{Key: key, Disabled: true, RequiredReplicas: 3, WallClockMS: 1e12, RequestID: 8})
 	}
 	effects := write(10)
 	if len(effects.Persists) != 1 || len(effects.Sends) < 4 || len(effects.Results) != 0 || len(effects.Changed) != 1 {
