--- a/internal/cluster/compat_persisted_test.go
+++ b/internal/cluster/compat_persisted_test.go
@@ -143,7 +143,7 @@
 			}
 			answer, wanted := answers[name]
 			found := slices.ContainsFunc(link.sent, func(msg []byte) bool {
-				return wanted && bytes.HasPrefix(withoutAuthor(msg), answer)
+				return wanted && bytes.HasPrefix(withoutSenderID(msg), answer)
 			})
 			if found != wanted {
 				t.Errorf("answer %x among %x", answer, link.sent)
@@ -152,9 +152,9 @@
 	}
 }
 
-// withoutAuthor returns a datagram's kind and body, with the author, which each
+// withoutSenderID returns a datagram's kind and body, with the sender ID, which each
 // process draws at random, cleared in those of leases.
-func withoutAuthor(msg []byte) []byte {
+func withoutSenderID(msg []byte) []byte {
 	kind, body, err := peer.Unwrap(msg)
 	if err != nil {
 		return nil
--- a/internal/cluster/compat_test.go
+++ b/internal/cluster/compat_test.go
@@ -204,7 +204,7 @@
 // overrides of an engine and of a front end.
 func TestCompatState(t *testing.T) {
 	c := newTestCluster()
-	other := replication.New(replication.Options{Name: "gw-8", Author: 77}, 6)
+	other := replication.New(replication.Options{Name: "gw-8", ProcessID: 77}, 6)
 	here := replication.Peer{Number: 0}
 	other.Apply(0, replication.Start{})
 	other.Apply(0, replication.MembersChanged{Alive: []replication.Peer{here}, All: []replication.Peer{here}, Size: 2})
--- a/internal/cluster/overrides.go
+++ b/internal/cluster/overrides.go
@@ -43,7 +43,7 @@
 	o := &overrideAdapter{cluster: c, quorum: options.Replication.WriteQuorum, writes: map[uint64]chan<- WriteResult{}}
 	o.replica = replication.New(replication.Options{
 		Name:            c.identity.Name,
-		Author:          rand.Uint64() | 1,
+		ProcessID:       rand.Uint64() | 1,
 		MaxMessageBytes: options.MaxDatagramBytes - peer.Overhead,
 		Times:           options.Replication.Times(),
 		Durable:         c.store != nil,
--- a/internal/replication/compat_test.go
+++ b/internal/replication/compat_test.go
@@ -79,7 +79,7 @@
 		}
 		persisted[strings.TrimPrefix(key, "word/")] = golden[key]
 	}
-	r := New(Options{Name: "front-0", Author: 1, Durable: true, Persisted: persisted}, 1)
+	r := New(Options{Name: "front-0", ProcessID: 1, Durable: true, Persisted: persisted}, 1)
 	r.Apply(0, Start{})
 	if r.Counters.Malformed > 0 || !r.IsDisabled(compatDisable.key) || r.IsDisabled(compatEnable.key) || len(r.Registers()) != 2 {
 		t.Errorf("restored %+v, %d malformed", r.Registers(), r.Counters.Malformed)
@@ -93,7 +93,7 @@
 // another one.
 func checkCompatPersists(t *testing.T, key string, entries []entry, golden []byte) {
 	t.Helper()
-	r := New(Options{Name: "front-0", Author: 1, Durable: true}, 1)
+	r := New(Options{Name: "front-0", ProcessID: 1, Durable: true}, 1)
 	r.Apply(0, Start{})
 	encoded := (&message{verb: verbEntries}).append(nil)
 	for _, e := range entries {
@@ -112,7 +112,7 @@
 // TestCompatDigests checks that equal copies have equal digests in every version.
 // Otherwise front ends would send one another all their writes without end.
 func TestCompatDigests(t *testing.T) {
-	r := New(Options{Name: "front-0", Author: 1}, 1)
+	r := New(Options{Name: "front-0", ProcessID: 1}, 1)
 	golden := goldentest.Read(t, "digests.txt")
 	check := func(name string, got uint64) {
 		t.Helper()
--- a/internal/replication/convergence_test.go
+++ b/internal/replication/convergence_test.go
@@ -29,7 +29,7 @@
 	if r.Counters.Writes == writes {
 		return
 	}
-	dot := Dot{r.options.Author, r.lastTimestamp}
+	dot := Dot{r.options.ProcessID, r.lastTimestamp}
 	l.superseded[dot] = superseded
 	if l.disabled[engine] == nil {
 		l.disabled[engine] = map[Dot]bool{}
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -7,22 +7,21 @@
 //
 // # Merge rule
 //
-// Each engine or front end has a multi-value register. Every write carries its
-// causal context: the latest writes that its author knew, by author, as a version
-// vector. A register holds the writes that no other known write supersedes. Neither
-// clocks nor the order of arrival matter for that.
+// Each engine or front end has a multi-value register. Every write carries its causal
+// context: a version vector with the latest write of each process that the writer had
+// received. A register holds the writes that no other received write supersedes. The
+// result depends neither on clocks nor on the order in which writes arrive.
 //
 // Where a register holds several concurrent writes that differ, "disabled" holds,
 // as the safe side: an engine that is disabled by mistake costs some capacity, and
 // work that is sent to one under maintenance is lost. The others are kept and
 // reported as conflicts, until the next write, which supersedes them all.
 //
-// Merging takes the union of the writes without superseded ones. It is
-// commutative, associative and idempotent, as in a state-based CRDT: copies that
-// have received the same writes are equal. A context names at most
-// maxContextAuthors authors, the latest. A write whose author was cut from a
-// context may remain beside the newer one as if they were concurrent, which is the
-// safe side again.
+// Merging takes the union of the writes without superseded ones. It is commutative,
+// associative and idempotent, as in a state-based CRDT: copies that have received the
+// same writes are equal. A context names at most maxContextProcesses processes, those
+// with the latest writes. A write of a process that was cut from a context may remain
+// beside the newer write as if the two were concurrent, which is again the safe side.
 //
 // # Guarantees
 //
@@ -34,7 +33,7 @@
 //     disks, may be lost.
 //   - A write that was answered with a failure is not withdrawn: it stays, and goes
 //     on spreading.
-//   - A restarted process writes as another author, so that it cannot reuse
+//   - A restarted process writes under another process ID, so that it cannot reuse
 //     timestamps that it has forgotten, not even when its clock was set back.
 //   - A replica reports whether it has caught up, and until then its host sends
 //     nothing to engines. It has caught up when two members that have caught up, or
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -43,7 +43,7 @@
 func (f *fleet) start(i int) {
 	o := f.options
 	o.Name = fmt.Sprint("n", i)
-	o.Author = f.rng.Uint64() | 1
+	o.ProcessID = f.rng.Uint64() | 1
 	o.Durable = f.disks[i] != nil
 	o.Persisted = f.disks[i]
 	r := New(o, f.rng.Uint64())
--- a/internal/replication/options.go
+++ b/internal/replication/options.go
@@ -28,7 +28,7 @@
 // Options configure a Replica.
 type Options struct {
 	Name            string            // of this front end; cut to MaxOriginBytes
-	Author          uint64            // identifies this process; drawn at random for each, never 0
+	ProcessID       uint64            // identifies this process; drawn at random for each, never 0
 	MaxMessageBytes int               // of a message; 0: 250
 	Times           Times             // zero: DefaultTimes
 	Durable         bool              // this front end holds a write only once it is persisted
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -36,10 +36,10 @@
 
 func (k Key) hash() uint64 { return antientropy.HashString(string([]byte{byte(k.Kind)}) + k.ID) }
 
-// Dot identifies a write: its author, which is one process of one front end, and a
-// timestamp that increases with each write of that author.
+// Dot identifies a write by the process of a front end that made it, and a
+// timestamp that increases with each write of that process.
 type Dot struct {
-	Author    uint64
+	ProcessID uint64
 	Timestamp uint64 // hybrid: ms since 1970 << timestampCounterBits, and a counter
 }
 
@@ -52,17 +52,17 @@
 	Dot
 	Disabled bool
 	Origin   string // the front end that accepted the write
-	Context  []Dot  // the latest write of each author that this write supersedes
+	Context  []Dot  // the latest write of each process that this write supersedes
 }
 
-// supersedes reports whether a write's author knew another write.
+// supersedes reports whether a write was made with knowledge of another write.
 func (w *Override) supersedes(o *Override) bool {
 	for _, d := range w.Context {
-		if d.Author == o.Author {
+		if d.ProcessID == o.ProcessID {
 			return d.Timestamp >= o.Timestamp
 		}
 	}
-	return w.Author == o.Author && w.Timestamp > o.Timestamp
+	return w.ProcessID == o.ProcessID && w.Timestamp > o.Timestamp
 }
 
 // prevailsOver reports whether a write holds rather than a concurrent one.
@@ -71,16 +71,16 @@
 	if w.Disabled != o.Disabled {
 		return w.Disabled
 	}
-	return cmp.Or(cmp.Compare(w.Timestamp, o.Timestamp), cmp.Compare(w.Author, o.Author)) > 0
+	return cmp.Or(cmp.Compare(w.Timestamp, o.Timestamp), cmp.Compare(w.ProcessID, o.ProcessID)) > 0
 }
 
-// compareByDot orders writes by author and timestamp.
+// compareByDot orders writes by process ID and timestamp.
 func compareByDot(a, b *Override) int {
-	return cmp.Or(cmp.Compare(a.Author, b.Author), cmp.Compare(a.Timestamp, b.Timestamp))
+	return cmp.Or(cmp.Compare(a.ProcessID, b.ProcessID), cmp.Compare(a.Timestamp, b.Timestamp))
 }
 
 const (
-	maxContextAuthors   = 8
+	maxContextProcesses = 8
 	maxConcurrentWrites = 8 // in a register
 )
 
@@ -123,7 +123,7 @@
 	return cmp.Or(
 		compareBool(a.Disabled, b.Disabled),
 		cmp.Compare(a.Timestamp, b.Timestamp),
-		cmp.Compare(a.Author, b.Author),
+		cmp.Compare(a.ProcessID, b.ProcessID),
 	)
 }
 
@@ -157,22 +157,22 @@
 
 // next returns a write that supersedes all that the register holds.
 func (r *register) next(dot Dot, disabled bool, origin string) *Override {
-	latest := map[uint64]uint64{} // timestamp by author
+	latest := map[uint64]uint64{} // timestamp by process ID
 	for _, w := range r.writes {
-		latest[w.Author] = max(latest[w.Author], w.Timestamp)
+		latest[w.ProcessID] = max(latest[w.ProcessID], w.Timestamp)
 		for _, d := range w.Context {
-			latest[d.Author] = max(latest[d.Author], d.Timestamp)
+			latest[d.ProcessID] = max(latest[d.ProcessID], d.Timestamp)
 		}
 	}
-	delete(latest, dot.Author) // its later timestamp says so
+	delete(latest, dot.ProcessID) // its later timestamp says so
 	w := &Override{Dot: dot, Disabled: disabled, Origin: origin}
-	for author, timestamp := range latest {
-		w.Context = append(w.Context, Dot{Author: author, Timestamp: timestamp})
+	for processID, timestamp := range latest {
+		w.Context = append(w.Context, Dot{ProcessID: processID, Timestamp: timestamp})
 	}
 	slices.SortFunc(w.Context, func(a, b Dot) int {
-		return cmp.Or(cmp.Compare(b.Timestamp, a.Timestamp), cmp.Compare(a.Author, b.Author))
+		return cmp.Or(cmp.Compare(b.Timestamp, a.Timestamp), cmp.Compare(a.ProcessID, b.ProcessID))
 	})
-	w.Context = w.Context[:min(len(w.Context), maxContextAuthors)]
+	w.Context = w.Context[:min(len(w.Context), maxContextProcesses)]
 	return w
 }
 
@@ -180,7 +180,7 @@
 func (r *register) Sum() uint64 {
 	var sum uint64
 	for _, w := range r.writes {
-		sum ^= antientropy.Mix(antientropy.Mix(w.Author) + w.Timestamp)
+		sum ^= antientropy.Mix(antientropy.Mix(w.ProcessID) + w.Timestamp)
 	}
 	if sum == 0 {
 		return 0
--- a/internal/replication/register_test.go
+++ b/internal/replication/register_test.go
@@ -13,7 +13,7 @@
 	replicas := make([]register, 3)
 	for range rapid.IntRange(1, 10).Draw(t, "writes") {
 		i := rapid.IntRange(0, 2).Draw(t, "writer")
-		dot := Dot{Author: uint64(i + 1), Timestamp: uint64(len(writes) + 1)}
+		dot := Dot{ProcessID: uint64(i + 1), Timestamp: uint64(len(writes) + 1)}
 		w := replicas[i].next(dot, rapid.Bool().Draw(t, "disabled"), "n")
 		replicas[i].merge(w)
 		writes = append(writes, w)
--- a/internal/replication/wire.go
+++ b/internal/replication/wire.go
@@ -34,8 +34,8 @@
 //	  repeated Entry entries = 11;
 //	}
 //	message Entry {
-//	  uint32 kind = 1; string id = 2; fixed64 author = 3; fixed64 timestamp = 4; bool disabled = 5;
-//	  string origin = 6; bytes context = 7; // (author 8 bytes, timestamp 8 bytes)...
+//	  uint32 kind = 1; string id = 2; fixed64 process_id = 3; fixed64 timestamp = 4; bool disabled = 5;
+//	  string origin = 6; bytes context = 7; // (process_id 8 bytes, timestamp 8 bytes)...
 //	}
 type message struct {
 	verb     verb
@@ -133,7 +133,7 @@
 const (
 	entryKind      protowire.Number = 1
 	entryID        protowire.Number = 2
-	entryAuthor    protowire.Number = 3
+	entryProcessID protowire.Number = 3
 	entryTimestamp protowire.Number = 4
 	entryDisabled  protowire.Number = 5
 	entryOrigin    protowire.Number = 6
@@ -144,7 +144,7 @@
 func appendEntry(b []byte, key Key, w *Override) []byte {
 	body := pbuf.AppendUint(nil, entryKind, uint64(key.Kind))
 	body = pbuf.AppendBytes(body, entryID, []byte(key.ID))
-	body = pbuf.AppendFixed64(body, entryAuthor, w.Author)
+	body = pbuf.AppendFixed64(body, entryProcessID, w.ProcessID)
 	body = pbuf.AppendFixed64(body, entryTimestamp, w.Timestamp)
 	body = pbuf.AppendBool(body, entryDisabled, w.Disabled)
 	body = pbuf.AppendBytes(body, entryOrigin, []byte(w.Origin))
@@ -154,7 +154,7 @@
 
 func appendDots(b []byte, dots []Dot) []byte {
 	for _, d := range dots {
-		b = binary.BigEndian.AppendUint64(b, d.Author)
+		b = binary.BigEndian.AppendUint64(b, d.ProcessID)
 		b = binary.BigEndian.AppendUint64(b, d.Timestamp)
 	}
 	return b
@@ -172,8 +172,8 @@
 		e.key.Kind = Kind(pbuf.ClampUint8(value))
 	case entryID:
 		e.key.ID = string(body)
-	case entryAuthor:
-		e.write.Author = value
+	case entryProcessID:
+		e.write.ProcessID = value
 	case entryTimestamp:
 		e.write.Timestamp = value
 	case entryDisabled:
@@ -190,14 +190,14 @@
 }
 
 func decodeDots(b []byte) ([]Dot, error) {
-	if len(b) > dotBytes*maxContextAuthors {
+	if len(b) > dotBytes*maxContextProcesses {
 		return nil, pbuf.ErrMalformed
 	}
 	return pbuf.DecodeList(b, dotBytes, decodeDot)
 }
 
 func decodeDot(b []byte) Dot {
-	return Dot{Author: binary.BigEndian.Uint64(b), Timestamp: binary.BigEndian.Uint64(b[uint64Bytes:])}
+	return Dot{ProcessID: binary.BigEndian.Uint64(b), Timestamp: binary.BigEndian.Uint64(b[uint64Bytes:])}
 }
 
 // validate checks what fields must be there and their bounds.
@@ -207,7 +207,7 @@
 		e.key.ID == "",
 		len(e.key.ID) > MaxIDBytes,
 		len(e.write.Origin) > MaxOriginBytes,
-		e.write.Author == 0,
+		e.write.ProcessID == 0,
 		e.write.Timestamp == 0,
 		e.write.Timestamp >= timestampLimit:
 		return pbuf.ErrMalformed
--- a/internal/replication/wire_test.go
+++ b/internal/replication/wire_test.go
@@ -41,7 +41,7 @@
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		r := New(Options{Name: "n0", Author: 3, Persisted: map[string][]byte{"x": testprocess.MalformedMessage(t, write)}}, 1)
+		r := New(Options{Name: "n0", ProcessID: 3, Persisted: map[string][]byte{"x": testprocess.MalformedMessage(t, write)}}, 1)
 		r.Apply(0, Start{})
 		r.Apply(1, MembersChanged{Alive: []Peer{{Number: 1}}, All: []Peer{{Number: 1}}, Size: 2})
 		for range 4 {
@@ -96,11 +96,11 @@
 		{"ID too long", Key{Engine, longestID + "s"}, Override{Dot: Dot{1, 1}}, pbuf.ErrMalformed},
 		{"origin too long", Key{Engine, "s"},
 			Override{Dot: Dot{1, 1}, Origin: longestOrigin + "n"}, pbuf.ErrMalformed},
-		{"no author", Key{Engine, "s"}, Override{Dot: Dot{0, 1}}, pbuf.ErrMalformed},
+		{"no process ID", Key{Engine, "s"}, Override{Dot: Dot{0, 1}}, pbuf.ErrMalformed},
 		{"no timestamp", Key{Engine, "s"}, Override{Dot: Dot{1, 0}}, pbuf.ErrMalformed},
 		{"timestamp too late", Key{Engine, "s"}, Override{Dot: Dot{1, latest + 1}}, pbuf.ErrMalformed},
 		{"context too long", Key{Engine, "s"},
-			Override{Dot: Dot{1, 1}, Context: make([]Dot, maxContextAuthors+1)}, pbuf.ErrMalformed},
+			Override{Dot: Dot{1, 1}, Context: make([]Dot, maxContextProcesses+1)}, pbuf.ErrMalformed},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/replication/writes.go
+++ b/internal/replication/writes.go
@@ -40,7 +40,7 @@
 	isNew := current == nil || current.Disabled != ev.Disabled || len(conflicts) > 0 || len(reg.writes) > 1
 	if isNew {
 		r.lastTimestamp = max(r.lastTimestamp+1, uint64(ev.WallClockMS)<<timestampCounterBits)
-		current = reg.next(Dot{Author: r.options.Author, Timestamp: r.lastTimestamp}, ev.Disabled, r.options.Name)
+		current = reg.next(Dot{ProcessID: r.options.ProcessID, Timestamp: r.lastTimestamp}, ev.Disabled, r.options.Name)
 		r.merge(ev.Key, current)
 		r.catchUp.equalPeers = map[Peer]bool{}
 		r.Counters.Writes++
--- a/internal/replication/writes_test.go
+++ b/internal/replication/writes_test.go
@@ -10,7 +10,7 @@
 // time; that it stays all the same; and that a write that changes nothing is not a
 // new one.
 func TestWriteResults(t *testing.T) {
-	r := New(Options{Name: "n0", Author: 3, Durable: true}, 1)
+	r := New(Options{Name: "n0", ProcessID: 3, Durable: true}, 1)
 	others := []Peer{{Number: 1}, {Number: 2}, {Number: 3}, {Number: 4}}
 	key := Key{Engine, "s-1"}
 	r.Apply(0, Start{})
@@ -53,7 +53,7 @@
 // BenchmarkLearn measures the cost of a write that is received, is new and is
 // forwarded.
 func BenchmarkLearn(b *testing.B) {
-	r := New(Options{Name: "n0", Author: 3}, 1)
+	r := New(Options{Name: "n0", ProcessID: 3}, 1)
 	r.Apply(0, Start{})
 	r.Apply(0, MembersChanged{Alive: []Peer{{Number: 1}, {Number: 2}}, All: []Peer{{Number: 1}, {Number: 2}}, Size: 3})
 	b.ReportAllocs()
