--- a/internal/cluster/adminjson.go
+++ b/internal/cluster/adminjson.go
@@ -35,13 +35,13 @@
 
 // stateJSON is the answer to GET /control/state.
 type stateJSON struct {
-	Digest      string           `json:"digest"`
-	Overrides   int              `json:"entries"`
-	CaughtUp    bool             `json:"caught_up"`
-	PendingAcks int              `json:"lag"`
-	Conflicts   []conflictJSON   `json:"conflicts"`
-	EnginesOut  []engineOutJSON  `json:"engines_out"`
-	Leases      leaseSummaryJSON `json:"loads"`
+	Digest          string               `json:"digest"`
+	Overrides       int                  `json:"entries"`
+	CaughtUp        bool                 `json:"caught_up"`
+	PendingAcks     int                  `json:"lag"`
+	Conflicts       []conflictJSON       `json:"conflicts"`
+	DisabledEngines []disabledEngineJSON `json:"engines_out"`
+	Leases          leaseSummaryJSON     `json:"loads"`
 }
 
 // conflictJSON is an engine or a front end with concurrent overrides, the one in
@@ -59,8 +59,8 @@
 	Disabled bool   `json:"out"`
 }
 
-// engineOutJSON is an engine that is out of service.
-type engineOutJSON struct {
+// disabledEngineJSON is an engine that is out of service.
+type disabledEngineJSON struct {
 	Engine string `json:"engine"`
 	Origin string `json:"by"`
 	UnixMS uint64 `json:"at_ms"`
@@ -120,13 +120,13 @@
 	replica := c.overrides.replica
 	registers := replica.Registers()
 	state := stateJSON{
-		Digest:      formatDigest(replica.Digest()),
-		Overrides:   len(registers),
-		CaughtUp:    replica.Ready(),
-		PendingAcks: replica.PendingAcks(),
-		Conflicts:   []conflictJSON{},
-		EnginesOut:  []engineOutJSON{},
-		Leases:      c.leaseSummary(),
+		Digest:          formatDigest(replica.Digest()),
+		Overrides:       len(registers),
+		CaughtUp:        replica.Ready(),
+		PendingAcks:     replica.PendingAcks(),
+		Conflicts:       []conflictJSON{},
+		DisabledEngines: []disabledEngineJSON{},
+		Leases:          c.leaseSummary(),
 	}
 	for _, register := range registers {
 		current := newOverrideJSON(register.Current)
@@ -138,8 +138,8 @@
 			state.Conflicts = append(state.Conflicts, conflict)
 		}
 		if register.Key.Kind == replication.Engine && current.Disabled {
-			out := engineOutJSON{Engine: register.Key.ID, Origin: current.Origin, UnixMS: current.UnixMS}
-			state.EnginesOut = append(state.EnginesOut, out)
+			disabledEngine := disabledEngineJSON{Engine: register.Key.ID, Origin: current.Origin, UnixMS: current.UnixMS}
+			state.DisabledEngines = append(state.DisabledEngines, disabledEngine)
 		}
 	}
 	return marshal(state)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -35,7 +35,7 @@
 	All(prefix string) (map[string][]byte, error)
 	// PutAsync writes a value and then calls the function, if it is not nil, on any
 	// goroutine, once the value is durable.
-	PutAsync(key string, v []byte, then func())
+	PutAsync(key string, value []byte, callback func())
 }
 
 // Identity identifies this front end.
@@ -168,22 +168,22 @@
 	return membership.Peer{Number: num, Addr: from}
 }
 
-// persisted returns the values that were stored under a prefix. An error is logged
+// persistedRecords returns the values that were stored under a prefix. An error is logged
 // and counts as none.
-func (c *Cluster) persisted(prefix, what string) map[string][]byte {
+func (c *Cluster) persistedRecords(prefix, component string) map[string][]byte {
 	if c.store == nil {
 		return nil
 	}
 	values, err := c.store.All(prefix)
 	if err != nil {
-		c.host.Logf("%s: read persisted records: %v", what, err)
+		c.host.Logf("%s: read persisted records: %v", component, err)
 	}
 	return values
 }
 
 // persist stores a value and then calls a function in the loop.
-func (c *Cluster) persist(key string, value []byte, then func()) {
-	c.store.PutAsync(key, value, func() { c.host.Post(then) })
+func (c *Cluster) persist(key string, value []byte, callback func()) {
+	c.store.PutAsync(key, value, func() { c.host.Post(callback) })
 }
 
 // Leave announces that this front end shuts down. It goes on answering until
--- a/internal/cluster/compat_persisted_test.go
+++ b/internal/cluster/compat_persisted_test.go
@@ -54,18 +54,18 @@
 	return all, nil
 }
 
-func (m compatStore) PutAsync(key string, value []byte, then func()) {
+func (m compatStore) PutAsync(key string, value []byte, callback func()) {
 	m[key] = bytes.Clone(value)
-	if then != nil {
-		then()
+	if callback != nil {
+		callback()
 	}
 }
 
 // compatWatcher records overrides.
 type compatWatcher map[string]string
 
-func (m compatWatcher) OverrideChanged(k replication.Key, out bool, origin string) {
-	m[fmt.Sprintf("%c %s", k.Kind, k.ID)] = fmt.Sprint(out, " by ", origin)
+func (m compatWatcher) OverrideChanged(k replication.Key, disabled bool, origin string) {
+	m[fmt.Sprintf("%c %s", k.Kind, k.ID)] = fmt.Sprint(disabled, " by ", origin)
 }
 func (m compatWatcher) CaughtUp() {}
 
@@ -119,7 +119,7 @@
 // previous version accepts.
 func TestCompatDatagrams(t *testing.T) {
 	received := goldentest.Read(t, "heard.txt")
-	answers := goldentest.Read(t, "answers.txt")
+	replies := goldentest.Read(t, "answers.txt")
 	stored := goldentest.Read(t, "memory.txt")
 	for name, keys := range map[string][]string{
 		"fleet-ping":  nil,
@@ -141,12 +141,12 @@
 					t.Errorf("%s encoded %x, golden %x", key, store[key], stored[key])
 				}
 			}
-			answer, wanted := answers[name]
+			reply, wantReply := replies[name]
 			found := slices.ContainsFunc(link.sent, func(msg []byte) bool {
-				return wanted && bytes.HasPrefix(withoutSenderID(msg), answer)
+				return wantReply && bytes.HasPrefix(withoutSenderID(msg), reply)
 			})
-			if found != wanted {
-				t.Errorf("answer %x among %x", answer, link.sent)
+			if found != wantReply {
+				t.Errorf("reply %x among %x", reply, link.sent)
 			}
 		})
 	}
--- a/internal/cluster/compat_test.go
+++ b/internal/cluster/compat_test.go
@@ -233,8 +233,8 @@
 	checkGoldenJSON(t, "state.json", state)
 }
 
-// TestCompatAnswer checks the answer to an override that too few front ends have.
-func TestCompatAnswer(t *testing.T) {
+// TestCompatWriteResult checks the answer to an override that too few front ends have.
+func TestCompatWriteResult(t *testing.T) {
 	text, err := json.Marshal(WriteResult{Replicas: 1, Required: 2})
 	if want := `{"kept":1,"needed":2}`; err != nil || string(text) != want {
 		t.Errorf("%s, %v, want %s", text, err, want)
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -24,7 +24,7 @@
 		ProcessID:       rand.Uint64() | 1,
 		MaxMessageBytes: options.MaxDatagramBytes - peer.Overhead,
 		Durable:         c.store != nil,
-		Persisted:       c.persisted(leaseKeyPrefix, "lease"),
+		Persisted:       c.persistedRecords(leaseKeyPrefix, "lease"),
 	}, c.identity.Seed)
 	return l
 }
@@ -49,24 +49,24 @@
 
 // complete gives a decision to the request that it belongs to.
 func (l *leaseAdapter) complete(decision lease.Decision) {
-	then := l.waiting[decision.RequestID]
-	if then == nil {
+	callback := l.waiting[decision.RequestID]
+	if callback == nil {
 		return
 	}
 	delete(l.waiting, decision.RequestID)
 	if decision.Kind == lease.Granted {
 		l.granted++
 	}
-	then(decision)
+	callback(decision)
 }
 
 // AcquireLease requests the right to run a load, identified by its key and a
 // fingerprint of its content, within a time in ms. isRetry: the client has sent
-// the load before. then is called once, in the loop.
-func (c *Cluster) AcquireLease(k lease.Key, fingerprint uint64, withinMS float64, isRetry bool, then func(lease.Decision)) {
+// the load before. callback is called once, in the loop.
+func (c *Cluster) AcquireLease(k lease.Key, fingerprint uint64, withinMS float64, isRetry bool, callback func(lease.Decision)) {
 	l := c.leases
 	l.lastRequestID++
-	l.waiting[l.lastRequestID] = then
+	l.waiting[l.lastRequestID] = callback
 	l.apply(lease.AcquireRequest{
 		Key:         k,
 		Fingerprint: fingerprint,
--- a/internal/cluster/overrides.go
+++ b/internal/cluster/overrides.go
@@ -12,8 +12,8 @@
 // OverrideWatcher is notified of administrative overrides.
 type OverrideWatcher interface {
 	// OverrideChanged reports that an engine or a front end was taken out of service
-	// (out), or put back, by an operator's call to the front end origin.
-	OverrideChanged(k replication.Key, out bool, origin string)
+	// (disabled), or put back, by an operator's call to the front end origin.
+	OverrideChanged(k replication.Key, disabled bool, origin string)
 	// CaughtUp reports that this front end has the fleet's overrides, or that its
 	// time to obtain them has passed.
 	CaughtUp()
@@ -47,7 +47,7 @@
 		MaxMessageBytes: options.MaxDatagramBytes - peer.Overhead,
 		Times:           options.Replication.Times(),
 		Durable:         c.store != nil,
-		Persisted:       c.persisted(overrideKeyPrefix, "replication"),
+		Persisted:       c.persistedRecords(overrideKeyPrefix, "replication"),
 	}, c.identity.Seed)
 	return o
 }
@@ -66,7 +66,7 @@
 	for _, result := range effects.Results {
 		o.complete(result)
 	}
-	o.noteCaughtUp()
+	o.notifyCaughtUp()
 	o.timer.schedule(o.cluster, o.replica.NextTimerMS(), func() { o.apply(replication.TimerFired{}) })
 }
 
@@ -84,17 +84,17 @@
 
 // complete answers the write that a result belongs to.
 func (o *overrideAdapter) complete(result replication.WriteResult) {
-	answer := o.writes[result.RequestID]
-	if answer == nil {
+	results := o.writes[result.RequestID]
+	if results == nil {
 		return
 	}
 	// The channel has capacity for it: see WriteOverride.
-	answer <- WriteResult{Replicas: result.Replicas, Required: o.requiredReplicas(), OK: result.OK}
+	results <- WriteResult{Replicas: result.Replicas, Required: o.requiredReplicas(), OK: result.OK}
 	delete(o.writes, result.RequestID)
 }
 
-// noteCaughtUp notifies the watcher once, when the replica has caught up.
-func (o *overrideAdapter) noteCaughtUp() {
+// notifyCaughtUp notifies the watcher once, when the replica has caught up.
+func (o *overrideAdapter) notifyCaughtUp() {
 	if o.caughtUp || o.watcher == nil || !o.replica.Ready() {
 		return
 	}
@@ -137,16 +137,16 @@
 // WriteOverride takes an engine or a front end out of service, or puts it back.
 // The result comes on the channel, which must have capacity for it. An error: the
 // ID is too long.
-func (c *Cluster) WriteOverride(k replication.Key, out bool, answer chan<- WriteResult) error {
+func (c *Cluster) WriteOverride(k replication.Key, disabled bool, results chan<- WriteResult) error {
 	if len(k.ID) > replication.MaxIDBytes {
 		return fmt.Errorf("the name is longer than %d bytes", replication.MaxIDBytes)
 	}
 	o := c.overrides
 	o.lastRequestID++
-	o.writes[o.lastRequestID] = answer
+	o.writes[o.lastRequestID] = results
 	o.apply(replication.Write{
 		Key:              k,
-		Disabled:         out,
+		Disabled:         disabled,
 		RequiredReplicas: o.requiredReplicas(),
 		WallClockMS:      float64(time.Now().UnixMilli()),
 		RequestID:        o.lastRequestID,
--- a/internal/replication/antientropy.go
+++ b/internal/replication/antientropy.go
@@ -51,7 +51,7 @@
 		r.send(from, &message{verb: verbMatch, digest: msg.digest})
 		return
 	}
-	r.noteDifference(from)
+	r.recordDifference(from)
 	r.sendContent(from, r.tree.Summary(antientropy.Range{}))
 }
 
@@ -74,7 +74,7 @@
 
 // receiveRangeSums goes on with the ranges in which a member's copy differs.
 func (r *Replica) receiveRangeSums(from Peer, msg *message) {
-	r.noteDifference(from)
+	r.recordDifference(from)
 	hasBudget := func() bool { return r.budget.Allows(r.options.MaxMessageBytes) }
 	content := &msg.exchange.Content
 	r.tree.Descend(content.Range, content.Sums, r.rng, hasBudget, func(child antientropy.RangeContent) {
@@ -85,10 +85,10 @@
 // receiveRangeItems sends the registers that a member lacks, and requests those
 // that are lacking here.
 func (r *Replica) receiveRangeItems(from Peer, msg *message) {
-	lacking, wanted := r.tree.Compare(msg.exchange.Content)
-	r.sendRegisters(from, lacking)
-	if len(wanted) > 0 {
-		r.send(from, &message{verb: verbRequest, exchange: antientropy.Exchange{Requested: wanted}})
+	toSend, toRequest := r.tree.Compare(msg.exchange.Content)
+	r.sendRegisters(from, toSend)
+	if len(toRequest) > 0 {
+		r.send(from, &message{verb: verbRequest, exchange: antientropy.Exchange{Requested: toRequest}})
 	}
 }
 
@@ -97,9 +97,9 @@
 	r.sendRegisters(from, r.tree.FindAll(msg.exchange.Requested))
 }
 
-// noteDifference notes that a member's copy differs, and that it is compared again
+// recordDifference notes that a member's copy differs, and that it is compared again
 // once both have sent what the other lacks.
-func (r *Replica) noteDifference(peer Peer) {
+func (r *Replica) recordDifference(peer Peer) {
 	r.Counters.ComparisonsDiffer++
 	delete(r.catchUp.equalPeers, peer)
 	if !slices.Contains(r.compareFirst, peer) {
--- a/internal/replication/catchup_test.go
+++ b/internal/replication/catchup_test.go
@@ -12,9 +12,9 @@
 	wrong        []string // replicas that are not ready in the end, or lack the write
 }
 
-// playRestart simulates a fleet in which a minority is down while an engine is
+// simulateRestart simulates a fleet in which a minority is down while an engine is
 // disabled. Then those, or with disks all after a common crash, start at once.
-func playRestart(seed uint64, durable bool) (result restart) {
+func simulateRestart(seed uint64, durable bool) (result restart) {
 	const (
 		size     = 9
 		majority = 5
@@ -79,7 +79,7 @@
 func TestReadyWithAcknowledgedWrites(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		for _, durable := range []bool{false, true} {
-			result := playRestart(seed, durable)
+			result := simulateRestart(seed, durable)
 			if !result.acknowledged {
 				t.Fatalf("seed %d, durable %v: the write is not acknowledged", seed, durable)
 			}
@@ -96,7 +96,7 @@
 // TestNotReadyTooSoon checks one of these histories for this rule alone: a
 // replica that is otherwise right is not ready without an acknowledged write.
 func TestNotReadyTooSoon(t *testing.T) {
-	result := playRestart(1, false)
+	result := simulateRestart(1, false)
 	if result.acknowledged && len(result.wrong) == 0 && result.readyTooSoon > 0 {
 		t.Errorf("ready without an acknowledged write, seen %d times", result.readyTooSoon)
 	}
@@ -107,8 +107,8 @@
 func TestCostOfCatchingUp(t *testing.T) {
 	const (
 		size              = 16
-		restMS            = 30_000
-		maxRestRate       = 50 // bytes a second and replica
+		idleMS            = 30_000
+		maxIdleRate       = 50 // bytes a second and replica
 		maxCatchUpCopies  = 8  // bytes of a catch-up, as a multiple of a plain copy
 		catchUpDeadlineMS = 10_000
 	)
@@ -123,8 +123,8 @@
 	}
 	f.Run(20_000)
 	bytesBefore := f.bytes
-	f.Run(restMS)
-	restRate := float64(f.bytes-bytesBefore) / (restMS / 1000) / size
+	f.Run(idleMS)
+	idleRate := float64(f.bytes-bytesBefore) / (idleMS / 1000) / size
 	f.kill(3)
 	f.updateAllMembers()
 	f.Run(4000)
@@ -147,12 +147,12 @@
 	}
 	catchUpBytes := f.bytes - bytesBefore
 	t.Logf("at rest %.1f bytes a second each; 400 writes from nothing in %.0f ms, %d datagrams, %d bytes (a plain copy: %d)",
-		restRate, f.NowMS-startMS, f.messages-messagesBefore, catchUpBytes, copyBytes)
+		idleRate, f.NowMS-startMS, f.messages-messagesBefore, catchUpBytes, copyBytes)
 	if !r.Ready() || r.Counters.CatchUpTimeouts > 0 || r.Digest() != f.replicas[0].Digest() {
 		t.Errorf("has not caught up: %+v", r.Counters)
 	}
-	if restRate > maxRestRate {
-		t.Errorf("%.0f bytes a second at rest", restRate)
+	if idleRate > maxIdleRate {
+		t.Errorf("%.0f bytes a second at rest", idleRate)
 	}
 	if catchUpBytes > maxCatchUpCopies*copyBytes {
 		t.Errorf("%d bytes for %d", catchUpBytes, copyBytes)
--- a/internal/replication/convergence_test.go
+++ b/internal/replication/convergence_test.go
@@ -52,10 +52,10 @@
 	return false
 }
 
-// playPartitions simulates partitions with writes on all sides, and returns what
+// simulatePartitions simulates partitions with writes on all sides, and returns what
 // is wrong in the end, "" if nothing is, and how long the replicas took to become
 // equal.
-func playPartitions(seed uint64, size int) (wrong string, tookMS float64) {
+func simulatePartitions(seed uint64, size int) (wrong string, tookMS float64) {
 	const convergenceLimitMS = 15_000
 	f := newFleet(seed, size, Options{})
 	f.Run(3000)
@@ -96,7 +96,7 @@
 	maxMS := 0.0
 	for seed := uint64(1); seed <= 100; seed++ {
 		t.Run(fmt.Sprintf("12 replicas, seed %d", seed), func(t *testing.T) {
-			wrong, tookMS := playPartitions(seed, 12)
+			wrong, tookMS := simulatePartitions(seed, 12)
 			maxMS = max(maxMS, tookMS)
 			if wrong != "" {
 				t.Error(wrong)
@@ -106,7 +106,7 @@
 	t.Logf("12 replicas, 100 histories: equal after at most %.0f ms", maxMS)
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprintf("300 replicas, seed %d", seed), func(t *testing.T) {
-			wrong, tookMS := playPartitions(seed, 300)
+			wrong, tookMS := simulatePartitions(seed, 300)
 			if wrong != "" {
 				t.Error(wrong)
 			}
--- a/internal/replication/events.go
+++ b/internal/replication/events.go
@@ -80,7 +80,7 @@
 // Counters count events since the start of the process.
 type Counters struct {
 	Writes            int `json:"Spoken"`           // new writes of this front end
-	Learned           int `json:"Learned"`          // registers changed by others' writes
+	RegistersUpdated  int `json:"Learned"`          // registers changed by others' writes
 	WritesFailed      int `json:"Refused"`          // writes that too few front ends held in time
 	MessagesSent      int `json:"Sent"`             // messages sent
 	BytesSent         int `json:"BytesSent"`        // bytes of these
--- a/internal/replication/learn.go
+++ b/internal/replication/learn.go
@@ -1,11 +1,11 @@
 package replication
 
-// forwardTo is how many members a learned write is forwarded to.
-const forwardTo = 2
+// forwardFanout is how many members a learned write is forwarded to.
+const forwardFanout = 2
 
-// learn merges the writes of a message, persists the registers that have changed,
+// receiveEntries merges the writes of a message, persists the registers that have changed,
 // acknowledges, and forwards what is new: the sender may not reach all.
-func (r *Replica) learn(from Peer, msg *message) {
+func (r *Replica) receiveEntries(from Peer, msg *message) {
 	var changed []*register
 	for _, e := range msg.entries {
 		r.lastTimestamp = max(r.lastTimestamp, e.write.Timestamp)
@@ -25,7 +25,7 @@
 	}
 	r.catchUp.equalPeers = map[Peer]bool{}
 	for i, reg := range changed {
-		r.Counters.Learned++
+		r.Counters.RegistersUpdated++
 		r.reportChange(reg.key)
 		then := func() {}
 		if i == len(changed)-1 {
@@ -39,7 +39,7 @@
 // forward sends registers to random live members other than the sender. A replica
 // that catches up forwards nothing: it learns what the others know.
 func (r *Replica) forward(from Peer, changed []*register) {
-	for range forwardTo {
+	for range forwardFanout {
 		if !r.catchUp.ready || len(r.alive) == 0 || !r.budget.Allows(r.options.MaxMessageBytes) {
 			return
 		}
--- a/internal/replication/messages.go
+++ b/internal/replication/messages.go
@@ -23,7 +23,7 @@
 func (r *Replica) dispatch(from Peer, msg *message) {
 	switch msg.verb {
 	case verbWrite, verbEntries:
-		r.learn(from, msg)
+		r.receiveEntries(from, msg)
 	case verbAck:
 		r.receiveAck(from, msg.sequence)
 	case verbProbe:
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -156,7 +156,7 @@
 }
 
 // next returns a write that supersedes all that the register holds.
-func (r *register) next(dot Dot, disabled bool, origin string) *Override {
+func (r *register) newWrite(dot Dot, disabled bool, origin string) *Override {
 	latest := map[uint64]uint64{} // timestamp by process ID
 	for _, w := range r.writes {
 		latest[w.ProcessID] = max(latest[w.ProcessID], w.Timestamp)
--- a/internal/replication/register_test.go
+++ b/internal/replication/register_test.go
@@ -14,7 +14,7 @@
 	for range rapid.IntRange(1, 10).Draw(t, "writes") {
 		i := rapid.IntRange(0, 2).Draw(t, "writer")
 		dot := Dot{ProcessID: uint64(i + 1), Timestamp: uint64(len(writes) + 1)}
-		w := replicas[i].next(dot, rapid.Bool().Draw(t, "disabled"), "n")
+		w := replicas[i].newWrite(dot, rapid.Bool().Draw(t, "disabled"), "n")
 		replicas[i].merge(w)
 		writes = append(writes, w)
 		if rapid.Bool().Draw(t, "replicated") {
@@ -27,7 +27,7 @@
 	return writes
 }
 
-func mergeAll(writes ...*Override) (r register) {
+func mergeWrites(writes ...*Override) (r register) {
 	for _, w := range writes {
 		r.merge(w)
 	}
@@ -46,14 +46,14 @@
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		writes := drawWrites(t)
-		merged := mergeAll(writes...)
-		reordered := mergeAll(append(rapid.Permutation(writes).Draw(t, "order"), writes...)...)
+		merged := mergeWrites(writes...)
+		reordered := mergeWrites(append(rapid.Permutation(writes).Draw(t, "order"), writes...)...)
 		if describe(merged) != describe(reordered) {
 			t.Fatalf("%s and %s", describe(merged), describe(reordered))
 		}
 		cut := rapid.IntRange(0, len(writes)).Draw(t, "cut")
-		first, second := mergeAll(writes[:cut]...), mergeAll(writes[cut:]...)
-		if joined := mergeAll(slices.Concat(first.writes, second.writes)...); describe(joined) != describe(merged) {
+		first, second := mergeWrites(writes[:cut]...), mergeWrites(writes[cut:]...)
+		if joined := mergeWrites(slices.Concat(first.writes, second.writes)...); describe(joined) != describe(merged) {
 			t.Fatalf("%s and %s", describe(joined), describe(merged))
 		}
 		current, conflicts := merged.resolve()
--- a/internal/replication/writes.go
+++ b/internal/replication/writes.go
@@ -12,16 +12,16 @@
 
 // pendingWrite is a write of this front end that some have not acknowledged.
 type pendingWrite struct {
-	key          Key
-	write        *Override
-	sequence     uint32 // of the verbWrite messages and their acknowledgements
-	startedAtMS  float64
-	nextSendMS   float64
-	acknowledged map[Peer]bool
-	persisted    bool // on this front end's own disk, where there is one
-	required     int
-	requestID    uint64
-	unanswered   bool // the operator waits for the result
+	key              Key
+	write            *Override
+	sequence         uint32 // of the verbWrite messages and their acknowledgements
+	startedAtMS      float64
+	nextSendMS       float64
+	acknowledged     map[Peer]bool
+	persisted        bool // on this front end's own disk, where there is one
+	requiredReplicas int
+	requestID        uint64
+	unanswered       bool // the operator waits for the result
 }
 
 // replicas returns how many front ends hold the write.
@@ -40,7 +40,7 @@
 	isNew := current == nil || current.Disabled != ev.Disabled || len(conflicts) > 0 || len(reg.writes) > 1
 	if isNew {
 		r.lastTimestamp = max(r.lastTimestamp+1, uint64(ev.WallClockMS)<<timestampCounterBits)
-		current = reg.next(Dot{ProcessID: r.options.ProcessID, Timestamp: r.lastTimestamp}, ev.Disabled, r.options.Name)
+		current = reg.newWrite(Dot{ProcessID: r.options.ProcessID, Timestamp: r.lastTimestamp}, ev.Disabled, r.options.Name)
 		r.merge(ev.Key, current)
 		r.catchUp.equalPeers = map[Peer]bool{}
 		r.Counters.Writes++
@@ -49,15 +49,15 @@
 	r.pending = slices.DeleteFunc(r.pending, func(p *pendingWrite) bool { return p.key == ev.Key && !p.unanswered })
 	r.lastSequence++
 	p := &pendingWrite{
-		key:          ev.Key,
-		write:        current,
-		sequence:     r.lastSequence,
-		startedAtMS:  r.nowMS,
-		nextSendMS:   r.nowMS,
-		acknowledged: map[Peer]bool{},
-		required:     ev.RequiredReplicas,
-		requestID:    ev.RequestID,
-		unanswered:   true,
+		key:              ev.Key,
+		write:            current,
+		sequence:         r.lastSequence,
+		startedAtMS:      r.nowMS,
+		nextSendMS:       r.nowMS,
+		acknowledged:     map[Peer]bool{},
+		requiredReplicas: ev.RequiredReplicas,
+		requestID:        ev.RequestID,
+		unanswered:       true,
 	}
 	r.pending = append(r.pending, p)
 	r.persist(reg, func() { p.persisted = true })
@@ -76,10 +76,10 @@
 		if p.unanswered {
 			return false
 		}
-		isHeldByAll := p.persisted && len(p.unacknowledged(r.all)) == 0
+		isStoredByAll := p.persisted && len(p.unacknowledged(r.all)) == 0
 		isExpired := r.nowMS > p.startedAtMS+resendForMS
 		isSuperseded := !slices.Contains(r.registerOf(p.key).writes, p.write)
-		return isHeldByAll || isExpired || isSuperseded
+		return isStoredByAll || isExpired || isSuperseded
 	})
 }
 
@@ -134,16 +134,16 @@
 // answerWrite answers the operator once enough front ends hold the write, or when
 // the time is up.
 func (r *Replica) answerWrite(p *pendingWrite) {
-	isHeld := p.replicas() >= p.required
+	isStored := p.replicas() >= p.requiredReplicas
 	isLate := r.nowMS >= p.startedAtMS+r.options.Times.WriteTimeoutMS
-	if !p.unanswered || !isHeld && !isLate {
+	if !p.unanswered || !isStored && !isLate {
 		return
 	}
 	p.unanswered = false
-	if !isHeld {
+	if !isStored {
 		r.Counters.WritesFailed++
 	}
-	r.effects.Results = append(r.effects.Results, WriteResult{RequestID: p.requestID, Replicas: p.replicas(), OK: isHeld})
+	r.effects.Results = append(r.effects.Results, WriteResult{RequestID: p.requestID, Replicas: p.replicas(), OK: isStored})
 }
 
 // receiveAck notes that a member holds a write.
--- a/internal/store/database.go
+++ b/internal/store/database.go
@@ -22,11 +22,11 @@
 
 // The buckets and keys of the file.
 var (
-	metaBucket  = []byte("about")
-	valueBucket = []byte("state")
-	ownerKey    = []byte("owner")
-	versionKey  = []byte("version")
-	totalKey    = []byte("sum")
+	metaBucket       = []byte("about")
+	valueBucket      = []byte("state")
+	ownerKey         = []byte("owner")
+	versionKey       = []byte("version")
+	contentDigestKey = []byte("sum")
 )
 
 // createOrVerify creates the file if there is none, else reads all of it. It
@@ -48,30 +48,30 @@
 	if meta == nil || values == nil {
 		return errCorrupt
 	}
-	version, ok := unseal(meta.Get(versionKey))
+	version, ok := stripChecksum(meta.Get(versionKey))
 	if !ok || len(version) != 1 || version[0] != formatVersion {
 		return errCorrupt
 	}
-	owner, ok := unseal(meta.Get(ownerKey))
+	owner, ok := stripChecksum(meta.Get(ownerKey))
 	if !ok {
 		return errCorrupt
 	}
 	if string(owner) != s.owner {
 		return fmt.Errorf("%s %w: %q", s.path, ErrForeignOwner, owner)
 	}
-	want, err := readTotal(tx)
+	want, err := readContentDigest(tx)
 	if err != nil {
 		return err
 	}
-	var total uint64
-	err = values.ForEach(func(key, sealed []byte) error {
-		total ^= entryDigest(key, sealed)
+	var digest uint64
+	err = values.ForEach(func(key, record []byte) error {
+		digest ^= entryDigest(key, record)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	if total != want {
+	if digest != want {
 		return errCorrupt
 	}
 	return nil
@@ -100,13 +100,13 @@
 	if _, err := tx.CreateBucketIfNotExists(valueBucket); err != nil {
 		return err
 	}
-	if err := meta.Put(versionKey, seal([]byte{formatVersion})); err != nil {
+	if err := meta.Put(versionKey, addChecksum([]byte{formatVersion})); err != nil {
 		return err
 	}
-	if err := meta.Put(ownerKey, seal([]byte(s.owner))); err != nil {
+	if err := meta.Put(ownerKey, addChecksum([]byte(s.owner))); err != nil {
 		return err
 	}
-	return writeTotal(tx, 0)
+	return writeContentDigest(tx, 0)
 }
 
 // replace moves a file that cannot be used aside and creates an empty one. The
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -81,11 +81,11 @@
 // Get returns a value, or nil if there is none.
 func (s *Store) Get(key string) (value []byte, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
-		sealed := tx.Bucket(valueBucket).Get([]byte(key))
-		if sealed == nil {
+		record := tx.Bucket(valueBucket).Get([]byte(key))
+		if record == nil {
 			return nil
 		}
-		stored, ok := unseal(sealed)
+		stored, ok := stripChecksum(record)
 		if !ok {
 			return errCorrupt
 		}
@@ -101,8 +101,8 @@
 	values = map[string][]byte{}
 	err = s.view(func(tx *bbolt.Tx) error {
 		cursor := tx.Bucket(valueBucket).Cursor()
-		for key, sealed := cursor.Seek([]byte(prefix)); strings.HasPrefix(string(key), prefix); key, sealed = cursor.Next() {
-			stored, ok := unseal(sealed)
+		for key, record := cursor.Seek([]byte(prefix)); strings.HasPrefix(string(key), prefix); key, record = cursor.Next() {
+			stored, ok := stripChecksum(record)
 			if !ok {
 				return errCorrupt
 			}
@@ -142,24 +142,24 @@
 
 func (s *Store) writeAll(values map[string][]byte) error {
 	return s.update(func(tx *bbolt.Tx) error {
-		total, err := readTotal(tx)
+		digest, err := readContentDigest(tx)
 		if err != nil {
 			return err
 		}
 		bucket := tx.Bucket(valueBucket)
 		for key, value := range values {
-			total ^= storedDigest(bucket, []byte(key))
+			digest ^= storedDigest(bucket, []byte(key))
 			if value == nil {
 				err = bucket.Delete([]byte(key))
 			} else {
-				sealed := seal(value)
-				total ^= entryDigest([]byte(key), sealed)
-				err = bucket.Put([]byte(key), sealed)
+				record := addChecksum(value)
+				digest ^= entryDigest([]byte(key), record)
+				err = bucket.Put([]byte(key), record)
 			}
 			if err != nil {
 				return fmt.Errorf("put key %q: %w", key, err)
 			}
 		}
-		return writeTotal(tx, total)
+		return writeContentDigest(tx, digest)
 	})
 }
