--- a/internal/replication/antientropy.go
+++ b/internal/replication/antientropy.go
@@ -6,11 +6,11 @@
 	"dewhill/internal/antientropy"
 )
 
-// recompareDelayMS is until copies that were found to differ are compared again.
+// recompareDelayMS is the delay after which copies that differed are compared again.
 const recompareDelayMS = 250.0
 
-// compareCopies starts comparisons: with members that were away or differ first,
-// else with random live ones.
+// compareCopies starts comparisons with members that have become alive again or whose
+// copy differed. If there are none, it starts them with random live members.
 func (r *Replica) compareCopies() {
 	r.nextCompareMS = r.nowMS + r.options.Times.CompareIntervalMS*(0.9+0.2*r.rng.Float64())
 	comparisons := 1
@@ -31,7 +31,7 @@
 	}
 }
 
-// nextToCompare returns the member to compare with, if there is one.
+// nextToCompare returns the next member to compare with, or false if there is none.
 func (r *Replica) nextToCompare() (peer Peer, ok bool) {
 	if len(r.compareFirst) > 0 {
 		peer = r.compareFirst[0]
@@ -44,7 +44,7 @@
 	return Peer{}, false
 }
 
-// receiveProbe answers a member that compares its digest with this copy.
+// receiveProbe replies to a member that compares its digest with this copy.
 func (r *Replica) receiveProbe(from Peer, msg *message) {
 	if msg.digest == r.Digest() {
 		r.catchUp.equalPeers[from] = msg.ready
@@ -55,7 +55,7 @@
 	r.sendContent(from, r.tree.Summary(antientropy.Range{}))
 }
 
-// sendContent sends what is held in a range.
+// sendContent sends a description of the local content of a range.
 func (r *Replica) sendContent(to Peer, content antientropy.RangeContent) {
 	kind := verbRangeItems
 	if content.HasSums() {
@@ -64,7 +64,7 @@
 	r.send(to, &message{verb: kind, exchange: antientropy.Exchange{Content: content}})
 }
 
-// receiveMatch notes that a member's copy is equal to this one.
+// receiveMatch records that a member's copy is equal to this copy.
 func (r *Replica) receiveMatch(from Peer, msg *message) {
 	if msg.digest == r.Digest() {
 		r.Counters.ComparisonsEqual++
@@ -72,7 +72,7 @@
 	}
 }
 
-// receiveRangeSums goes on with the ranges in which a member's copy differs.
+// receiveRangeSums descends into the child ranges in which a member's copy differs.
 func (r *Replica) receiveRangeSums(from Peer, msg *message) {
 	r.recordDifference(from)
 	hasBudget := func() bool { return r.budget.Allows(r.options.MaxMessageBytes) }
@@ -82,8 +82,8 @@
 	})
 }
 
-// receiveRangeItems sends the registers that a member lacks, and requests those
-// that are lacking here.
+// receiveRangeItems sends the registers that a member lacks or has with different
+// content, and requests the registers that this copy lacks or has with different content.
 func (r *Replica) receiveRangeItems(from Peer, msg *message) {
 	toSend, toRequest := r.tree.Compare(msg.exchange.Content)
 	r.sendRegisters(from, toSend)
@@ -92,13 +92,13 @@
 	}
 }
 
-// receiveRequest sends the registers that a member has requested.
+// receiveRequest sends the registers that a member requests.
 func (r *Replica) receiveRequest(from Peer, msg *message) {
 	r.sendRegisters(from, r.tree.FindAll(msg.exchange.Requested))
 }
 
-// recordDifference notes that a member's copy differs, and that it is compared again
-// once both have sent what the other lacks.
+// recordDifference records that a member's copy differs, and schedules another comparison
+// with the member. By then, both copies should have received the registers that they lack.
 func (r *Replica) recordDifference(peer Peer) {
 	r.Counters.ComparisonsDiffer++
 	delete(r.catchUp.equalPeers, peer)
--- a/internal/replication/catchup.go
+++ b/internal/replication/catchup.go
@@ -1,21 +1,23 @@
 package replication
 
 const (
-	// readyPeersNeeded is how many members that have caught up must have the same
-	// digest for this replica to have caught up.
+	// readyPeersNeeded is the number of members that have caught up and must have this
+	// replica's digest before this replica has caught up too.
 	readyPeersNeeded = 2
-	// catchUpCompareIntervalMS is between comparisons of a replica that catches up.
+	// catchUpCompareIntervalMS is the interval between comparisons while a replica is
+	// catching up.
 	catchUpCompareIntervalMS = 150.0
 )
 
-// catchUp tracks whether this replica holds what the others hold.
+// catchUp tracks whether this replica has the writes of the other members.
 type catchUp struct {
 	ready       bool
 	startedAtMS float64
-	equalPeers  map[Peer]bool // members with the same digest; true: they have caught up
+	equalPeers  map[Peer]bool // members with this replica's digest; true: the member has caught up
 }
 
-// checkCaughtUp finds whether this replica has caught up, or has waited too long.
+// checkCaughtUp marks this replica as ready if it has caught up or its time for catching
+// up has passed.
 func (r *Replica) checkCaughtUp() {
 	readyPeers := 0
 	for _, isReady := range r.catchUp.equalPeers {
--- a/internal/replication/catchup_test.go
+++ b/internal/replication/catchup_test.go
@@ -5,16 +5,17 @@
 	"testing"
 )
 
-// restart is what was seen in a simulated restart.
-type restart struct {
-	acknowledged bool     // the write, by a majority
-	readyTooSoon int      // replicas that were ready without an acknowledged write, over time
-	wrong        []string // replicas that are not ready in the end, or lack the write
+// restartResult is the result of a simulated restart.
+type restartResult struct {
+	acknowledged bool     // a majority has acknowledged the write
+	readyTooSoon int      // observations of a replica that was ready without the acknowledged write
+	failures     []string // replicas that at the end are not ready or do not have the write
 }
 
 // simulateRestart simulates a fleet in which a minority is down while an engine is
-// disabled. Then those, or with disks all after a common crash, start at once.
-func simulateRestart(seed uint64, durable bool) (result restart) {
+// disabled. Then the minority starts at the same time. In a fleet with disks, all front ends
+// crash first, and all of them start at the same time.
+func simulateRestart(seed uint64, durable bool) (result restartResult) {
 	const (
 		size     = 9
 		majority = 5
@@ -43,7 +44,7 @@
 	f.write(writer, key.ID, true, majority)
 	f.Run(3500)
 	result.acknowledged = len(f.results) == 1 && f.results[0].OK
-	if durable { // all crash
+	if durable { // all front ends crash
 		for i := range f.replicas {
 			f.kill(i)
 		}
@@ -65,51 +66,52 @@
 	f.Run(10_000)
 	for i, r := range f.replicas {
 		if !r.Ready() || !r.IsDisabled(key) {
-			wrong := fmt.Sprintf("front end %d is ready: %v, holds %+v", i, r.Ready(), r.Registers())
-			result.wrong = append(result.wrong, wrong)
+			failure := fmt.Sprintf("front end %d: ready %v, registers %+v", i, r.Ready(), r.Registers())
+			result.failures = append(result.failures, failure)
 		}
 	}
 	return result
 }
 
-// TestReadyWithAcknowledgedWrites checks that a write that a majority has
-// acknowledged is known to each restarted replica before it is ready, also where
-// all that return start at once and only a minority stayed. With disks,
-// acknowledged writes outlast a crash of all.
+// TestReadyWithAcknowledgedWrites checks that each restarted replica has received a write
+// that a majority acknowledged before the replica is ready, even if all restarted replicas
+// start at the same time and only a minority kept running. In a fleet with disks,
+// acknowledged writes survive a crash of all front ends.
 func TestReadyWithAcknowledgedWrites(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
 		for _, durable := range []bool{false, true} {
 			result := simulateRestart(seed, durable)
 			if !result.acknowledged {
-				t.Fatalf("seed %d, durable %v: the write is not acknowledged", seed, durable)
+				t.Fatalf("seed %d, durable %v: the write was not acknowledged", seed, durable)
 			}
-			for _, wrong := range result.wrong {
-				t.Errorf("seed %d, durable %v: %s", seed, durable, wrong)
+			for _, failure := range result.failures {
+				t.Errorf("seed %d, durable %v: %s", seed, durable, failure)
 			}
 			if result.readyTooSoon > 0 {
-				t.Errorf("seed %d, durable %v: ready without an acknowledged write", seed, durable)
+				t.Errorf("seed %d, durable %v: a replica was ready without an acknowledged write", seed, durable)
 			}
 		}
 	}
 }
 
-// TestNotReadyTooSoon checks one of these histories for this rule alone: a
-// replica that is otherwise right is not ready without an acknowledged write.
+// TestNotReadyTooSoon checks with a single seed only that no replica is ready without an
+// acknowledged write. It passes if the simulation fails in any other way, so that the mutant
+// without catch-up is found for the right reason.
 func TestNotReadyTooSoon(t *testing.T) {
 	result := simulateRestart(1, false)
-	if result.acknowledged && len(result.wrong) == 0 && result.readyTooSoon > 0 {
-		t.Errorf("ready without an acknowledged write, seen %d times", result.readyTooSoon)
+	if result.acknowledged && len(result.failures) == 0 && result.readyTooSoon > 0 {
+		t.Errorf("a replica was ready without an acknowledged write in %d observations", result.readyTooSoon)
 	}
 }
 
-// TestCostOfCatchingUp checks what it costs to bring a restarted replica up to
-// date, and to compare replicas that are equal.
+// TestCostOfCatchingUp checks the number of bytes sent while a restarted replica catches
+// up, and the rate of bytes sent while all replicas are equal.
 func TestCostOfCatchingUp(t *testing.T) {
 	const (
 		size              = 16
 		idleMS            = 30_000
-		maxIdleRate       = 50 // bytes a second and replica
-		maxCatchUpCopies  = 8  // bytes of a catch-up, as a multiple of a plain copy
+		maxIdleRate       = 50 // bytes per second and replica
+		maxCatchUpCopies  = 8  // bytes sent during a catch-up, as a multiple of the encoded registers
 		catchUpDeadlineMS = 10_000
 	)
 	f := newFleet(1, size, Options{})
@@ -119,7 +121,7 @@
 		f.Run(20)
 	}
 	if _, ok := f.runUntilEqual(20_000); !ok {
-		t.Fatal("replicas differ")
+		t.Fatal("the replicas still differ after 20 s")
 	}
 	f.Run(20_000)
 	bytesBefore := f.bytes
@@ -146,15 +148,15 @@
 		f.Run(5)
 	}
 	catchUpBytes := f.bytes - bytesBefore
-	t.Logf("at rest %.1f bytes a second each; 400 writes from nothing in %.0f ms, %d datagrams, %d bytes (a plain copy: %d)",
+	t.Logf("idle: %.1f bytes/s per replica; catch-up of 400 writes: %.0f ms, %d datagrams, %d bytes (encoded registers: %d)",
 		idleRate, f.NowMS-startMS, f.messages-messagesBefore, catchUpBytes, copyBytes)
 	if !r.Ready() || r.Counters.CatchUpTimeouts > 0 || r.Digest() != f.replicas[0].Digest() {
-		t.Errorf("has not caught up: %+v", r.Counters)
+		t.Errorf("the restarted replica has not caught up: %+v", r.Counters)
 	}
 	if idleRate > maxIdleRate {
-		t.Errorf("%.0f bytes a second at rest", idleRate)
+		t.Errorf("an idle replica sends %.0f bytes/s, want at most %d", idleRate, maxIdleRate)
 	}
 	if catchUpBytes > maxCatchUpCopies*copyBytes {
-		t.Errorf("%d bytes for %d", catchUpBytes, copyBytes)
+		t.Errorf("the catch-up took %d bytes, want at most %d times %d", catchUpBytes, maxCatchUpCopies, copyBytes)
 	}
 }
--- a/internal/replication/compat_test.go
+++ b/internal/replication/compat_test.go
@@ -11,7 +11,7 @@
 	"dewhill/internal/goldentest"
 )
 
-// compatDisable has every field set, and compatEnable as few as there can be.
+// compatDisable has every field set, and compatEnable only the required fields.
 var (
 	compatDisable = entry{
 		key: Key{Engine, "engine-1.example:8080"},
@@ -28,8 +28,8 @@
 	}
 )
 
-// TestCompatMessages checks that front ends of the previous version read each
-// message about overrides, field by field.
+// TestCompatMessages checks that the encoding of each message has not changed, as front
+// ends of the previous version decode it.
 func TestCompatMessages(t *testing.T) {
 	rangeSums := []uint32{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 0xfffffffe, 0xffffffff}
 	rangeItems := []antientropy.Item{{Hash: 0x0102030405060708, Sum: 9}, {Hash: 1, Sum: 0xffffffff}}
@@ -58,9 +58,8 @@
 	goldentest.Check(t, "messages.txt", cases, encode, decode)
 }
 
-// TestCompatPersisted checks that a front end that starts again reads the
-// registers that the previous version has persisted, by their keys, and persists
-// them as the same bytes.
+// TestCompatPersisted checks that an upgraded front end restores the registers that the
+// previous version has persisted, by their keys, and persists them as the same bytes.
 func TestCompatPersisted(t *testing.T) {
 	second := entry{compatDisable.key, &Override{Dot: Dot{0x99 << 56, 1790000000001 << 16}, Origin: "front-2"}}
 	golden := goldentest.Read(t, "kept.txt")
@@ -69,13 +68,13 @@
 		"word/f/front-2":               {compatEnable},
 	}
 	if len(golden) != len(want) {
-		t.Errorf("%d golden lines", len(golden))
+		t.Errorf("the golden file has %d entries, want %d", len(golden), len(want))
 	}
 	persisted := map[string][]byte{}
 	for key, entries := range want {
 		got, err := decodeRegister(golden[key])
 		if err != nil || !reflect.DeepEqual(got, entries) {
-			t.Errorf("%s decoded %+v, %v", key, got, err)
+			t.Errorf("%s: decoded %+v, %v, want %+v", key, got, err, entries)
 		}
 		persisted[strings.TrimPrefix(key, "word/")] = golden[key]
 	}
@@ -89,8 +88,8 @@
 	}
 }
 
-// checkCompatPersists checks how a replica persists writes that it learns from
-// another one.
+// checkCompatPersists checks the record that a replica persists for writes that it receives
+// from another replica.
 func checkCompatPersists(t *testing.T, key string, entries []entry, golden []byte) {
 	t.Helper()
 	r := New(Options{Name: "front-0", ProcessID: 1, Durable: true}, 1)
@@ -109,8 +108,8 @@
 	}
 }
 
-// TestCompatDigests checks that equal copies have equal digests in every version.
-// Otherwise front ends would send one another all their writes without end.
+// TestCompatDigests checks that all versions compute the same digests for equal copies.
+// Otherwise front ends would send all their writes to each other again and again.
 func TestCompatDigests(t *testing.T) {
 	r := New(Options{Name: "front-0", ProcessID: 1}, 1)
 	golden := goldentest.Read(t, "digests.txt")
--- a/internal/replication/convergence_test.go
+++ b/internal/replication/convergence_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// writeLog knows which writes each write has superseded. That is worked out from
-// what its replica held, not from the context that the write carries.
+// writeLog records the writes that each write has superseded. They are derived from the
+// content of the replica at the time of the write, not from the context of the write.
 type writeLog struct {
 	superseded map[Dot]map[Dot]bool
-	disabled   map[string]map[Dot]bool // by engine
+	disabled   map[string]map[Dot]bool // by engine, then by write
 }
 
-// write writes an override at a replica and logs it, if it is a new one.
+// write writes an override at a replica, and records it if it changes the register.
 func (l *writeLog) write(f *fleet, i int, engine string, disabled bool) {
 	r := f.replicas[i]
 	superseded := map[Dot]bool{}
@@ -37,8 +37,8 @@
 	l.disabled[engine][dot] = disabled
 }
 
-// isDisabled reports whether the merge rule disables an engine: whether a write
-// that no other has superseded says so.
+// isDisabled reports whether the merge rule disables an engine: that is, whether a write
+// that disables it has not been superseded.
 func (l *writeLog) isDisabled(engine string) bool {
 	for dot, disabled := range l.disabled[engine] {
 		isSuperseded := false
@@ -52,10 +52,10 @@
 	return false
 }
 
-// simulatePartitions simulates partitions with writes on all sides, and returns what
-// is wrong in the end, "" if nothing is, and how long the replicas took to become
-// equal.
-func simulatePartitions(seed uint64, size int) (wrong string, tookMS float64) {
+// simulatePartitions simulates partitions with writes on all sides. It returns a
+// description of what is wrong at the end, or "" if nothing is, and the time that the
+// replicas took to become equal.
+func simulatePartitions(seed uint64, size int) (failure string, tookMS float64) {
 	const convergenceLimitMS = 15_000
 	f := newFleet(seed, size, Options{})
 	f.Run(3000)
@@ -82,33 +82,33 @@
 		want := writes.isDisabled(engine)
 		for i, r := range f.replicas {
 			if r.IsDisabled(Key{Engine, engine}) != want {
-				return fmt.Sprintf("%s: disabled must be %v; front end %d holds %+v", engine, want, i, r.Registers()), tookMS
+				return fmt.Sprintf("%s: want disabled %v, front end %d has %+v", engine, want, i, r.Registers()), tookMS
 			}
 		}
 	}
 	return "", tookMS
 }
 
-// TestReplicasConverge checks over many histories of partitions with writes on all
-// sides that the replicas have one digest within 15 s, and hold what the merge
-// rule says.
+// TestReplicasConverge simulates many sequences of partitions with writes on all sides. It
+// checks that the replicas have the same digest within 15 s, and the state that follows from
+// the merge rule.
 func TestReplicasConverge(t *testing.T) {
 	maxMS := 0.0
 	for seed := uint64(1); seed <= 100; seed++ {
 		t.Run(fmt.Sprintf("12 replicas, seed %d", seed), func(t *testing.T) {
-			wrong, tookMS := simulatePartitions(seed, 12)
+			failure, tookMS := simulatePartitions(seed, 12)
 			maxMS = max(maxMS, tookMS)
-			if wrong != "" {
-				t.Error(wrong)
+			if failure != "" {
+				t.Error(failure)
 			}
 		})
 	}
-	t.Logf("12 replicas, 100 histories: equal after at most %.0f ms", maxMS)
+	t.Logf("12 replicas, 100 seeds: equal after at most %.0f ms", maxMS)
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprintf("300 replicas, seed %d", seed), func(t *testing.T) {
-			wrong, tookMS := simulatePartitions(seed, 300)
-			if wrong != "" {
-				t.Error(wrong)
+			failure, tookMS := simulatePartitions(seed, 300)
+			if failure != "" {
+				t.Error(failure)
 			}
 			t.Logf("equal after %.0f ms", tookMS)
 		})
--- a/internal/replication/fleet_test.go
+++ b/internal/replication/fleet_test.go
@@ -8,18 +8,18 @@
 	"dewhill/internal/virtualclock"
 )
 
-// fleet simulates replicas on a lossy network and a virtual clock, in one
-// goroutine. Replicas learn 3 s late who is alive, as from a membership protocol.
+// fleet simulates replicas with a lossy network and a virtual clock, in one goroutine.
+// Replicas are notified of changes of the live members 3 s late, as by a membership protocol.
 type fleet struct {
 	virtualclock.Clock
 	rng       *rand.Rand
 	options   Options
 	replicas  []*Replica // nil: the process is down
-	partition []int      // replicas with equal numbers reach one another
+	partition []int      // replicas with equal numbers can reach one another
 	lossRate  float64
 	timers    []*virtualclock.Timer
-	disks     []map[string][]byte // nil: the front end has none
-	diskMS    float64             // how long a write to a disk takes
+	disks     []map[string][]byte // nil: the front end has no disk
+	diskMS    float64             // duration of a write to disk
 	results   []WriteResult
 	messages  int
 	bytes     int
@@ -59,7 +59,7 @@
 
 func (f *fleet) kill(i int) { f.replicas[i] = nil }
 
-// updateMembers tells a replica who is alive.
+// updateMembers notifies a replica of the live members.
 func (f *fleet) updateMembers(i int) {
 	view := MembersChanged{Size: len(f.replicas)}
 	for j := range f.replicas {
@@ -74,7 +74,8 @@
 	f.apply(i, view)
 }
 
-// updateAllMembers tells all replicas who is alive, with the delay of detection.
+// updateAllMembers notifies all replicas of the live members, after the delay of failure
+// detection.
 func (f *fleet) updateAllMembers() {
 	const detectionMS = 3000
 	f.After(detectionMS, func() {
@@ -86,7 +87,7 @@
 	})
 }
 
-// setPartition puts each replica on a side of a partition.
+// setPartition assigns each replica to a side of a partition.
 func (f *fleet) setPartition(side func(i int) int) {
 	for i := range f.partition {
 		f.partition[i] = side(i)
@@ -106,7 +107,7 @@
 	}
 	for _, p := range slices.Clone(effects.Persists) {
 		f.After(f.diskMS, func() {
-			if f.replicas[i] != r { // it was killed before
+			if f.replicas[i] != r { // the process was killed before the write
 				return
 			}
 			f.disks[i][p.Key] = p.Record
@@ -116,12 +117,13 @@
 	f.timers[i].Reset()
 }
 
-// transmit delivers a message late, out of order or not at all.
+// transmit delivers a message after a random delay, so that messages are reordered, or
+// loses it.
 func (f *fleet) transmit(from int, s Send) {
 	f.messages++
 	f.bytes += len(s.Message)
 	if len(s.Message) > maxMessageBytes {
-		panic(fmt.Sprint(len(s.Message), " bytes"))
+		panic(fmt.Sprintf("message of %d bytes, limit %d", len(s.Message), maxMessageBytes))
 	}
 	to := s.To.Number
 	if f.partition[to] != f.partition[from] || f.rng.Float64() < f.lossRate {
@@ -134,8 +136,8 @@
 	})
 }
 
-// runUntilEqual runs until all replicas have one digest, and returns how long that
-// took, or false if it took longer than the limit.
+// runUntilEqual runs the simulation until all replicas have the same digest. It returns the
+// time that this took, or false if the replicas still differ at the limit.
 func (f *fleet) runUntilEqual(limitMS float64) (tookMS float64, ok bool) {
 	for startMS := f.NowMS; f.NowMS < startMS+limitMS; f.Run(50) {
 		digests := map[uint64]bool{}
@@ -151,7 +153,7 @@
 	return 0, false
 }
 
-// write has an operator override an engine at a front end.
+// write passes an operator's override of an engine to a front end.
 func (f *fleet) write(i int, engine string, disabled bool, required int) {
 	f.apply(i, Write{
 		Key:              Key{Engine, engine},
--- a/internal/replication/learn.go
+++ b/internal/replication/learn.go
@@ -1,10 +1,11 @@
 package replication
 
-// forwardFanout is how many members a learned write is forwarded to.
+// forwardFanout is the number of members to which a newly received write is forwarded.
 const forwardFanout = 2
 
 // receiveEntries merges the writes of a message, persists the registers that have changed,
-// acknowledges, and forwards what is new: the sender may not reach all.
+// and acknowledges the message once they are persisted. It forwards the changed registers,
+// because the sender may be unable to reach all members.
 func (r *Replica) receiveEntries(from Peer, msg *message) {
 	var changed []*register
 	for _, e := range msg.entries {
@@ -36,8 +37,8 @@
 	r.forward(from, changed)
 }
 
-// forward sends registers to random live members other than the sender. A replica
-// that catches up forwards nothing: it learns what the others know.
+// forward sends registers to random live members other than the sender. A replica that is
+// catching up forwards nothing: it receives writes that the other members already have.
 func (r *Replica) forward(from Peer, changed []*register) {
 	for range forwardFanout {
 		if !r.catchUp.ready || len(r.alive) == 0 || !r.budget.Allows(r.options.MaxMessageBytes) {
--- a/internal/replication/messages.go
+++ b/internal/replication/messages.go
@@ -41,11 +41,11 @@
 	}
 }
 
-// maxEntriesHeaderBytes bounds a verbEntries message without its entries.
+// maxEntriesHeaderBytes is the maximum size of a verbEntries message without its entries.
 const maxEntriesHeaderBytes = 4
 
-// sendRegisters sends the writes of registers as far as the budget goes. What is
-// left out still differs, and the next comparison finds it again.
+// sendRegisters sends the writes of registers until the budget is used up. Registers that
+// were not sent still differ, and the next comparison finds them again.
 func (r *Replica) sendRegisters(to Peer, registers []*register) {
 	var encoded [][]byte
 	for _, reg := range registers {
@@ -61,7 +61,7 @@
 	}
 }
 
-// send sends a message with what every message says of its sender.
+// send sends a message, with its field ready set to the state of this replica.
 func (r *Replica) send(to Peer, msg *message) {
 	msg.ready = r.catchUp.ready
 	r.sendBytes(to, msg.append(nil))
--- a/internal/replication/mutants_test.go
+++ b/internal/replication/mutants_test.go
@@ -7,14 +7,14 @@
 )
 
 var (
-	// lastWriteWins lets the later of two concurrent writes hold, by the clock.
+	// lastWriteWins gives precedence to the concurrent write with the later timestamp.
 	lastWriteWins = mutanttest.Mutant{
 		Name: "last write wins",
 		File: "internal/replication/register.go",
 		Old:  "if w.Disabled != o.Disabled {\n\t\treturn w.Disabled",
 		New:  "return w.Timestamp > o.Timestamp\n\tif w.Disabled != o.Disabled {\n\t\treturn w.Disabled",
 	}
-	// withoutCatchUp has restarted replicas ready at once.
+	// withoutCatchUp makes restarted replicas ready immediately.
 	withoutCatchUp = mutanttest.Mutant{
 		Name: "without catch-up",
 		File: "internal/replication/replica.go",
@@ -23,8 +23,8 @@
 	}
 )
 
-// TestMutantsAreCaught checks that the tests of this package fail on a replica
-// without one of its guards.
+// TestMutantsAreCaught checks that the tests of this package fail if the merge rule or the
+// catch-up is removed from the replica.
 func TestMutantsAreCaught(t *testing.T) {
 	mutanttest.ExpectAllKilled(t, "./internal/replication", []mutanttest.Case{
 		{Mutant: lastWriteWins, Test: "TestReplicasConverge"},
--- a/internal/replication/options.go
+++ b/internal/replication/options.go
@@ -2,13 +2,13 @@
 
 import "cmp"
 
-// Times are the durations of the protocol in milliseconds, and its budget.
+// Times are the durations of the protocol in milliseconds, and its send rate.
 type Times struct {
-	ResendMS          float64 // until a write is sent again to those who have not acknowledged it
-	WriteTimeoutMS    float64 // until a write that too few have acknowledged is answered with a failure
-	CompareIntervalMS float64 // between comparisons with other members
-	CatchUpTimeoutMS  float64 // after which a replica that finds nobody to catch up with is ready
-	BytesPerSecond    float64 // average rate of sent bytes, as far as messages can wait
+	ResendMS          float64 // interval at which a write is sent again to members without an ack
+	WriteTimeoutMS    float64 // after which a write fails if too few front ends have stored it
+	CompareIntervalMS float64 // interval between comparisons with other members
+	CatchUpTimeoutMS  float64 // after which a replica is ready even if it has not caught up
+	BytesPerSecond    float64 // average send rate; messages that must not wait may exceed it
 }
 
 // DefaultTimes returns the times for links with a latency of up to some hundred
@@ -27,11 +27,11 @@
 
 // Options configure a Replica.
 type Options struct {
-	Name            string            // of this front end; cut to MaxOriginBytes
-	ProcessID       uint64            // identifies this process; drawn at random for each, never 0
-	MaxMessageBytes int               // of a message; 0: 250
+	Name            string            // of this front end; truncated to MaxOriginBytes
+	ProcessID       uint64            // random number that identifies this process; never 0
+	MaxMessageBytes int               // 0: 250
 	Times           Times             // zero: DefaultTimes
-	Durable         bool              // this front end holds a write only once it is persisted
+	Durable         bool              // a write counts as stored here only once it is persisted
 	Persisted       map[string][]byte // registers of an earlier process, by Persist.Key
 }
 
--- a/internal/replication/persistence.go
+++ b/internal/replication/persistence.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// persistenceKeyPrefix precedes the kind and ID of a register on the disk.
+// persistenceKeyPrefix precedes the kind and ID of a register in a persisted key.
 const persistenceKeyPrefix = "word/"
 
 func persistenceKey(key Key) string {
 	return persistenceKeyPrefix + string(rune(key.Kind)) + "/" + key.ID
 }
 
-// restore merges what an earlier process has persisted. Registers that cannot be
-// decoded are skipped: the other members have them.
+// restore merges the registers that an earlier process has persisted. It skips registers
+// that cannot be decoded: the other members have them.
 func (r *Replica) restore() {
 	for _, name := range slices.Sorted(maps.Keys(r.options.Persisted)) {
 		entries, err := decodeRegister(r.options.Persisted[name])
@@ -29,8 +29,8 @@
 	}
 }
 
-// persist writes a register to the disk, and then calls a function. Without a disk
-// it calls it at once.
+// persist has a register written to disk, and calls a function once that is done. Without
+// a disk it calls the function immediately.
 func (r *Replica) persist(reg *register, then func()) {
 	if !r.options.Durable {
 		then()
@@ -45,8 +45,8 @@
 	})
 }
 
-// afterPersisting calls a function once all that was to be persisted so far is on
-// the disk, which writes in order.
+// afterPersisting calls a function once all registers passed to persist so far are on
+// disk. It waits only for the last one, because records are written in order.
 func (r *Replica) afterPersisting(then func()) {
 	if _, isWriting := r.onPersisted[r.persistToken]; !isWriting {
 		then()
@@ -55,7 +55,7 @@
 	r.onPersisted[r.persistToken] = append(r.onPersisted[r.persistToken], then)
 }
 
-// persisted goes on with what waited for the disk.
+// persisted calls the functions that waited for a record to be written.
 func (r *Replica) persisted(token uint64) {
 	for _, then := range r.onPersisted[token] {
 		then()
--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -7,7 +7,8 @@
 	"dewhill/internal/antientropy"
 )
 
-// Kind is what a Key names. Its values are part of the wire form.
+// Kind is the kind of component that a Key identifies. Its values are part of the wire
+// format.
 type Kind byte
 
 // The kinds.
@@ -28,7 +29,7 @@
 	}
 }
 
-// Key names an engine or a front end.
+// Key identifies an engine or a front end.
 type Key struct {
 	Kind Kind
 	ID   string
@@ -36,14 +37,14 @@
 
 func (k Key) hash() uint64 { return antientropy.HashString(string([]byte{byte(k.Kind)}) + k.ID) }
 
-// Dot identifies a write by the process of a front end that made it, and a
+// Dot identifies a write by the process of a front end that made the write, and by a
 // timestamp that increases with each write of that process.
 type Dot struct {
 	ProcessID uint64
-	Timestamp uint64 // hybrid: ms since 1970 << timestampCounterBits, and a counter
+	Timestamp uint64 // hybrid: ms since 1970 << timestampCounterBits, plus a counter
 }
 
-// timestampCounterBits is how many low bits of a timestamp count writes within
+// timestampCounterBits is the number of low bits of a timestamp that count writes within
 // one millisecond.
 const timestampCounterBits = 16
 
@@ -55,7 +56,8 @@
 	Context  []Dot  // the latest write of each process that this write supersedes
 }
 
-// supersedes reports whether a write was made with knowledge of another write.
+// supersedes reports whether the process that made a write had received another write,
+// or had made it earlier.
 func (w *Override) supersedes(o *Override) bool {
 	for _, d := range w.Context {
 		if d.ProcessID == o.ProcessID {
@@ -65,8 +67,8 @@
 	return w.ProcessID == o.ProcessID && w.Timestamp > o.Timestamp
 }
 
-// prevailsOver reports whether a write holds rather than a concurrent one.
-// "Disabled" prevails, then the later write.
+// prevailsOver reports whether a write takes precedence over a concurrent write.
+// "Disabled" takes precedence over "enabled"; between equal values, the later write does.
 func (w *Override) prevailsOver(o *Override) bool {
 	if w.Disabled != o.Disabled {
 		return w.Disabled
@@ -84,11 +86,11 @@
 	maxConcurrentWrites = 8 // in a register
 )
 
-// register holds the writes for a key of which none supersedes another.
+// register is the set of writes for a key, none of which supersedes another.
 type register struct {
 	key    Key
 	hash   uint64
-	writes []*Override // by dot
+	writes []*Override // ordered by dot
 }
 
 // compareByKey orders registers by kind and ID.
@@ -96,7 +98,8 @@
 	return cmp.Or(cmp.Compare(a.key.Kind, b.key.Kind), cmp.Compare(a.key.ID, b.key.ID))
 }
 
-// merge adds a write, and reports whether the register has changed.
+// merge adds a write, unless a write in the register supersedes it, and removes the writes
+// that it supersedes. It reports whether the register has changed.
 func (r *register) merge(w *Override) (changed bool) {
 	i, found := slices.BinarySearchFunc(r.writes, w, compareByDot)
 	if found {
@@ -117,8 +120,8 @@
 	return dropped != w
 }
 
-// compareForDropping orders the writes of a full register, the first to be dropped
-// first. The order is the same in all replicas.
+// compareForDropping orders the writes of a full register. The first one is dropped. The
+// order is the same in all replicas.
 func compareForDropping(a, b *Override) int {
 	return cmp.Or(
 		compareBool(a.Disabled, b.Disabled),
@@ -139,8 +142,8 @@
 	}
 }
 
-// resolve returns the write that holds, nil if there is none, and the writes that
-// differ from it.
+// resolve returns the write that is in effect, or nil if there is none, and the writes
+// whose value differs from it.
 func (r *register) resolve() (current *Override, conflicts []*Override) {
 	for _, w := range r.writes {
 		if current == nil || w.prevailsOver(current) {
@@ -155,7 +158,7 @@
 	return current, conflicts
 }
 
-// next returns a write that supersedes all that the register holds.
+// newWrite returns a write that supersedes all writes in the register.
 func (r *register) newWrite(dot Dot, disabled bool, origin string) *Override {
 	latest := map[uint64]uint64{} // timestamp by process ID
 	for _, w := range r.writes {
@@ -164,7 +167,7 @@
 			latest[d.ProcessID] = max(latest[d.ProcessID], d.Timestamp)
 		}
 	}
-	delete(latest, dot.ProcessID) // its later timestamp says so
+	delete(latest, dot.ProcessID) // its earlier writes are superseded by the later timestamp
 	w := &Override{Dot: dot, Disabled: disabled, Origin: origin}
 	for processID, timestamp := range latest {
 		w.Context = append(w.Context, Dot{ProcessID: processID, Timestamp: timestamp})
@@ -176,7 +179,7 @@
 	return w
 }
 
-// Sum returns the register's part in digests; 0: nothing was written.
+// Sum returns the register's contribution to digests, which is 0 if it has no writes.
 func (r *register) Sum() uint64 {
 	var sum uint64
 	for _, w := range r.writes {
--- a/internal/replication/register_test.go
+++ b/internal/replication/register_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawWrites draws writes for one key as three replicas make and learn them.
+// drawWrites draws writes for one key as three replicas make them and send them to each
+// other.
 func drawWrites(t *rapid.T) (writes []*Override) {
 	replicas := make([]register, 3)
 	for range rapid.IntRange(1, 10).Draw(t, "writes") {
@@ -41,25 +42,25 @@
 	return s
 }
 
-// TestMerge checks that merging is commutative, associative and idempotent, and
-// that "disabled" holds wherever a write that no other supersedes says so.
+// TestMerge checks that merging is commutative, associative and idempotent, and that
+// "disabled" takes effect if any write that is not superseded disables the key.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		writes := drawWrites(t)
 		merged := mergeWrites(writes...)
 		reordered := mergeWrites(append(rapid.Permutation(writes).Draw(t, "order"), writes...)...)
 		if describe(merged) != describe(reordered) {
-			t.Fatalf("%s and %s", describe(merged), describe(reordered))
+			t.Fatalf("merged %s, in another order %s", describe(merged), describe(reordered))
 		}
 		cut := rapid.IntRange(0, len(writes)).Draw(t, "cut")
 		first, second := mergeWrites(writes[:cut]...), mergeWrites(writes[cut:]...)
 		if joined := mergeWrites(slices.Concat(first.writes, second.writes)...); describe(joined) != describe(merged) {
-			t.Fatalf("%s and %s", describe(joined), describe(merged))
+			t.Fatalf("merged %s, in two parts %s", describe(merged), describe(joined))
 		}
 		current, conflicts := merged.resolve()
 		for _, conflict := range conflicts {
 			if conflict.Disabled || !current.Disabled {
-				t.Fatalf("%+v holds over %+v", current, conflict)
+				t.Fatalf("%+v takes precedence over %+v", current, conflict)
 			}
 		}
 	})
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -10,8 +10,7 @@
 	"dewhill/internal/antientropy"
 )
 
-// Replica is one front end's copy of the overrides. It is not safe for concurrent
-// use.
+// Replica is one front end's copy of the overrides. It is not safe for concurrent use.
 type Replica struct {
 	options     Options
 	rng         *rand.Rand
@@ -21,10 +20,10 @@
 
 	registers     map[Key]*register
 	tree          *antientropy.Tree[*register]
-	lastTimestamp uint64 // the latest of all known writes
+	lastTimestamp uint64 // latest timestamp of all writes made or received
 
 	alive, all  []Peer
-	clusterSize int // members, with this front end
+	clusterSize int // number of members, including this front end
 
 	pending      []*pendingWrite
 	lastSequence uint32
@@ -41,15 +40,16 @@
 }
 
 const (
-	// rngStream separates the random numbers of this package from those of others
-	// that have the same seed.
+	// rngStream gives this package other random numbers than packages that use the
+	// same seed.
 	rngStream = 0x7265706c
-	// pauseThresholdMS is how late a timer is when this process was paused.
+	// pauseThresholdMS is the delay of a timer from which on the process is considered to
+	// have been paused.
 	pauseThresholdMS = 500.0
 )
 
-// New returns the replica of a process that has just started. Its effects are a
-// function of the options, the seed and the events.
+// New returns the replica of a process that has just started. The effects of the replica
+// depend only on the options, the seed, and the events with their times.
 func New(o Options, seed uint64) *Replica {
 	o = o.withDefaults()
 	r := &Replica{
@@ -64,13 +64,14 @@
 		nextCompareMS: math.Inf(1),
 		budget:        antientropy.NewSendBudget(o.Times.BytesPerSecond),
 	}
-	// Random, so that acknowledgements to an earlier process do not match.
+	// Sequence numbers start at a random number, so that acknowledgements of an earlier
+	// process's messages do not match.
 	r.lastSequence = r.rng.Uint32() >> 8
 	return r
 }
 
-// Apply processes one event at a time in milliseconds and returns its effects.
-// Time never goes back: an earlier time counts as that of the previous event.
+// Apply processes an event that happened at the given time, in milliseconds, and returns
+// its effects. A time before that of the previous event counts as the time of that event.
 func (r *Replica) Apply(nowMS float64, ev Event) *Effects {
 	r.effects = Effects{
 		Sends:    r.effects.Sends[:0],
@@ -80,7 +81,8 @@
 	}
 	r.nowMS = max(nowMS, r.nowMS)
 	if r.started && r.nowMS-r.nextTimerMS > pauseThresholdMS {
-		// What this replica holds may be long superseded: compare at once.
+		// The process was paused, and its writes may have been superseded long ago:
+		// compare immediately.
 		r.Counters.LateTimers++
 		r.nextCompareMS = r.nowMS
 	}
@@ -97,7 +99,7 @@
 	case Start:
 		r.start()
 	case TimerFired:
-		// runDue does all that is due.
+		// Apply calls runDue after each event.
 	case MessageReceived:
 		r.receive(ev)
 	case MembersChanged:
@@ -116,8 +118,8 @@
 	r.restore()
 }
 
-// updateMembers replaces the view of the fleet. A member that is alive again is
-// compared with first: one of both copies lacks what was written meanwhile.
+// updateMembers replaces the view of the fleet. Members that have become alive are compared
+// with first: one of the two copies may lack writes that were made in the meantime.
 func (r *Replica) updateMembers(ev MembersChanged) {
 	for _, peer := range ev.Alive {
 		if slices.Contains(r.alive, peer) || slices.Contains(r.compareFirst, peer) {
@@ -131,7 +133,7 @@
 	r.clusterSize = ev.Size
 }
 
-// runDue does what is due and sets the time of the next timer.
+// runDue performs the actions that are due, and sets the time of the next timer.
 func (r *Replica) runDue() {
 	r.runPendingWrites()
 	if !r.catchUp.ready {
@@ -152,18 +154,18 @@
 	}
 }
 
-// NextTimerMS returns when TimerFired is due.
+// NextTimerMS returns the time at which TimerFired is due.
 func (r *Replica) NextTimerMS() float64 { return r.nextTimerMS }
 
-// Digest returns a digest of all writes that are held. Replicas that hold the same
-// writes have equal digests.
+// Digest returns a digest of all writes in the registers. Replicas with the same writes
+// have equal digests.
 func (r *Replica) Digest() uint64 { return r.tree.Digest() }
 
 // Ready reports whether this replica has caught up with the others.
 func (r *Replica) Ready() bool { return r.catchUp.ready }
 
-// PendingAcks returns how many acknowledgements are missing, over all writes of
-// this front end and all members.
+// PendingAcks returns the number of acknowledgements that this front end has not received,
+// over all its pending writes and all members.
 func (r *Replica) PendingAcks() (count int) {
 	for _, p := range r.pending {
 		for _, peer := range r.all {
@@ -175,14 +177,14 @@
 	return count
 }
 
-// Register is what a replica holds for a key.
+// Register is the state of a key in a replica.
 type Register struct {
 	Key       Key
-	Current   Override
-	Conflicts []Override // concurrent writes that differ from it, by timestamp
+	Current   Override   // the write in effect
+	Conflicts []Override // concurrent writes with another value, ordered by timestamp
 }
 
-// Registers returns the registers that were written, by kind and ID.
+// Registers returns the registers that have writes, ordered by kind and ID.
 func (r *Replica) Registers() (list []Register) {
 	for _, reg := range slices.SortedFunc(maps.Values(r.registers), compareByKey) {
 		current, conflicts := reg.resolve()
@@ -209,7 +211,7 @@
 	return current != nil && current.Disabled
 }
 
-// registerOf returns the register of a key, a new one if it was never written.
+// registerOf returns the register of a key, and creates it if it does not exist.
 func (r *Replica) registerOf(key Key) *register {
 	reg := r.registers[key]
 	if reg == nil {
@@ -220,7 +222,7 @@
 	return reg
 }
 
-// merge merges a write into its register, and reports whether that has changed.
+// merge merges a write into its register, and reports whether the register has changed.
 func (r *Replica) merge(key Key, w *Override) (reg *register, changed bool) {
 	reg = r.registerOf(key)
 	oldSum := reg.Sum()
@@ -231,7 +233,7 @@
 	return reg, changed
 }
 
-// reportChange reports what holds for a key.
+// reportChange reports the current state of a key, if the key has a write.
 func (r *Replica) reportChange(key Key) {
 	current, _ := r.registerOf(key).resolve()
 	if current == nil {
--- a/internal/replication/wire.go
+++ b/internal/replication/wire.go
@@ -9,22 +9,22 @@
 	"dewhill/internal/pbuf"
 )
 
-// verb is what a message is for.
+// verb identifies the type of a message.
 type verb uint8
 
-// The verbs. Their numbers are part of the wire form.
+// The verbs. Their numbers are part of the wire format.
 const (
-	verbWrite      verb = 1 + iota // a write of the sender; requests an acknowledgement
-	verbAck                        // answers verbWrite: the write, or one that supersedes it, is held
-	verbEntries                    // writes that need no acknowledgement
-	verbProbe                      // the digest of all writes
-	verbMatch                      // answers verbProbe: it is equal
-	verbRangeSums                  // digests of a range's children; also answers verbProbe where copies differ
-	verbRangeItems                 // what is held in a range
-	verbRequest                    // requests registers by the hashes of their keys
+	verbWrite      verb = 1 + iota // a write of the sender, to be acknowledged
+	verbAck                        // reply to verbWrite: the write, or a write that supersedes it, is stored
+	verbEntries                    // writes that are not acknowledged
+	verbProbe                      // digest of all writes, to be compared
+	verbMatch                      // reply to verbProbe: the digests are equal
+	verbRangeSums                  // digests of a range's children; also the reply to verbProbe if the digests differ
+	verbRangeItems                 // entries in a range
+	verbRequest                    // request for registers, by the hashes of their keys
 )
 
-// message is the content of one datagram. In protobuf terms:
+// message is the content of one datagram. Its definition in protobuf is:
 //
 //	message Message {
 //	  uint32 verb = 1; uint32 sequence = 2;
@@ -46,24 +46,24 @@
 	entries  []entry
 }
 
-// entry is a write in a message or on the disk.
+// entry is a write in a message or in a persisted register.
 type entry struct {
 	key   Key
 	write *Override
 }
 
-// With a full context, a write with the longest ID and origin fits into a datagram
-// of 256 bytes.
+// These limits are chosen so that a write with the longest ID, the longest origin and a
+// full context fits into a datagram of 256 bytes.
 const (
-	// MaxIDBytes bounds the ID of a Key.
+	// MaxIDBytes is the maximum length of the ID of a Key.
 	MaxIDBytes = 48
-	// MaxOriginBytes bounds the origin of an Override.
+	// MaxOriginBytes is the maximum length of the origin of an Override.
 	MaxOriginBytes = 32
 )
 
 const (
-	// timestampLimit bounds the timestamps that a message may name, so that there
-	// are always later ones left.
+	// timestampLimit bounds the timestamps that are accepted in messages, so that later
+	// timestamps always remain for new writes.
 	timestampLimit = 1 << 63
 	uint64Bytes    = 8
 	dotBytes       = 2 * uint64Bytes
@@ -79,7 +79,7 @@
 	fieldEntry    protowire.Number = 11
 )
 
-// append writes all but the entries.
+// append appends the encoding of all fields except the entries.
 func (m *message) append(b []byte) []byte {
 	b = pbuf.AppendUint(b, fieldVerb, uint64(m.verb))
 	b = pbuf.AppendUint(b, fieldSequence, uint64(m.sequence))
@@ -90,7 +90,7 @@
 	return m.exchange.Append(b, fieldExchange)
 }
 
-// decode reads a message. Its error is pbuf.ErrMalformed.
+// decode decodes a message. The only error that it returns is pbuf.ErrMalformed.
 func decode(b []byte) (m message, err error) {
 	err = pbuf.Decode(b, m.decodeField, m.validate)
 	return m, err
@@ -116,7 +116,7 @@
 	return err
 }
 
-// validate checks what fields must be there and how they fit together.
+// validate checks that the required fields are present and consistent with each other.
 func (m *message) validate() error {
 	content := &m.exchange.Content
 	switch {
@@ -140,7 +140,7 @@
 	entryContext   protowire.Number = 7
 )
 
-// appendEntry writes a write as a field of a message.
+// appendEntry appends the encoding of a write as a field of a message.
 func appendEntry(b []byte, key Key, w *Override) []byte {
 	body := pbuf.AppendUint(nil, entryKind, uint64(key.Kind))
 	body = pbuf.AppendBytes(body, entryID, []byte(key.ID))
@@ -200,7 +200,8 @@
 	return Dot{ProcessID: binary.BigEndian.Uint64(b), Timestamp: binary.BigEndian.Uint64(b[uint64Bytes:])}
 }
 
-// validate checks what fields must be there and their bounds.
+// validate checks that the required fields are present and that all fields are within
+// their bounds.
 func (e *entry) validate() error {
 	switch {
 	case e.key.Kind != Engine && e.key.Kind != FrontEnd,
@@ -216,7 +217,7 @@
 	}
 }
 
-// encodeRegister writes all writes of a register, to be persisted.
+// encodeRegister encodes all writes of a register, to be persisted.
 func encodeRegister(r *register) (b []byte) {
 	for _, w := range r.writes {
 		b = appendEntry(b, r.key, w)
@@ -224,7 +225,7 @@
 	return b
 }
 
-// decodeRegister reads what encodeRegister wrote.
+// decodeRegister decodes the encoding that encodeRegister returns.
 func decodeRegister(b []byte) (entries []entry, err error) {
 	err = pbuf.ForEachField(b, func(field protowire.Number, _ uint64, body []byte) error {
 		e, err := decodeEntry(body)
--- a/internal/replication/wire_test.go
+++ b/internal/replication/wire_test.go
@@ -13,18 +13,19 @@
 	"dewhill/internal/testprocess"
 )
 
-// maxMessageBytes is the limit that messages must keep in tests.
+// maxMessageBytes is the maximum size of messages in tests.
 const maxMessageBytes = 250
 
-// TestMalformedMessages checks that messages decode as they were encoded, and that
-// malformed ones, also from the disk, break nothing.
+// TestMalformedMessages checks that messages decode to the values that were encoded, and
+// that malformed messages and persisted registers cause no panic, no oversized reply and no
+// unbounded number of registers.
 func TestMalformedMessages(t *testing.T) {
 	w := &Override{Dot: Dot{7, 9 << 16}, Disabled: true, Origin: "n3", Context: []Dot{{4, 5}, {6, 7}}}
 	write := string(appendEntry((&message{verb: verbWrite, sequence: 5}).append(nil), Key{Engine, "s-1"}, w))
 	got, err := decode([]byte(write))
 	if err != nil || len(got.entries) != 1 || fmt.Sprint(*got.entries[0].write) != fmt.Sprint(*w) ||
 		got.entries[0].key.ID != "s-1" || got.sequence != 5 {
-		t.Fatalf("%v: %+v", err, got)
+		t.Fatalf("decoded %+v, %v", got, err)
 	}
 	encode := func(m message) string { return string(m.append(nil)) }
 	items := encode(message{verb: verbRangeItems, exchange: antientropy.Exchange{Content: antientropy.RangeContent{
@@ -37,7 +38,7 @@
 	request := encode(message{verb: verbRequest, exchange: antientropy.Exchange{Requested: []uint64{1, 2}}})
 	for _, encoded := range []string{items, sums, probe, request} {
 		if _, err := decode([]byte(encoded)); err != nil {
-			t.Fatalf("%x: %v", encoded, err)
+			t.Fatalf("decode %x: %v", encoded, err)
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -48,18 +49,18 @@
 			malformed := testprocess.MalformedMessage(t, write, items, sums, probe, request)
 			for _, s := range r.Apply(2, MessageReceived{Peer{Number: 1}, malformed}).Sends {
 				if len(s.Message) > maxMessageBytes {
-					t.Fatalf("%d bytes", len(s.Message))
+					t.Fatalf("message of %d bytes, limit %d", len(s.Message), maxMessageBytes)
 				}
 			}
 		}
 		if n := len(r.registers); n > 20 {
-			t.Fatalf("%d registers", n)
+			t.Fatalf("%d registers, want at most 20", n)
 		}
 	})
 }
 
-// TestRequiredFields checks that a message is malformed for want of a field, or
-// because its fields do not fit together.
+// TestRequiredFields checks that a message is malformed if a required field is missing or
+// its fields are inconsistent.
 func TestRequiredFields(t *testing.T) {
 	ofRange := func(v verb, level, index int, sums []uint32) message {
 		content := antientropy.RangeContent{Range: antientropy.Range{Level: level, Index: index}, Sums: sums}
@@ -75,7 +76,7 @@
 		"digests of a range without children": ofRange(verbRangeSums, lowest, 1, sums),
 	} {
 		if _, err := decode(m.append(nil)); !errors.Is(err, pbuf.ErrMalformed) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want %v", name, err, pbuf.ErrMalformed)
 		}
 	}
 }
@@ -107,7 +108,7 @@
 			header := message{verb: verbEntries}
 			_, err := decode(appendEntry(header.append(nil), c.key, &c.write))
 			if !errors.Is(err, c.want) {
-				t.Errorf("%+v of %+v: %v, want %v", c.write, c.key, err, c.want)
+				t.Errorf("write %+v of %+v: error %v, want %v", c.write, c.key, err, c.want)
 			}
 		})
 	}
--- a/internal/replication/writes.go
+++ b/internal/replication/writes.go
@@ -3,14 +3,14 @@
 import "slices"
 
 const (
-	// resendForMS is for how long a write is sent to those who do not acknowledge
-	// it.
+	// resendForMS is the time after which a write is no longer sent to members that have
+	// not acknowledged it.
 	resendForMS = 600_000
-	// slowResendAfterMS is how old a write is when it is sent half as often.
+	// slowResendAfterMS is the age from which on a write is sent half as often.
 	slowResendAfterMS = 2000.0
 )
 
-// pendingWrite is a write of this front end that some have not acknowledged.
+// pendingWrite is a write of this front end that some members have not acknowledged.
 type pendingWrite struct {
 	key              Key
 	write            *Override
@@ -18,13 +18,13 @@
 	startedAtMS      float64
 	nextSendMS       float64
 	acknowledged     map[Peer]bool
-	persisted        bool // on this front end's own disk, where there is one
+	persisted        bool // on this front end's disk, or this front end has no disk
 	requiredReplicas int
 	requestID        uint64
-	unanswered       bool // the operator waits for the result
+	unanswered       bool // no WriteResult has been returned
 }
 
-// replicas returns how many front ends hold the write.
+// replicas returns the number of front ends that have stored the write.
 func (p *pendingWrite) replicas() int {
 	if p.persisted {
 		return len(p.acknowledged) + 1
@@ -32,8 +32,9 @@
 	return len(p.acknowledged)
 }
 
-// write accepts an operator's write and sends it to all. A write that changes
-// nothing is not a new one, but it is again counted who holds it.
+// write accepts an operator's write and sends it to all members. If the only write of the
+// key already has the requested value, that write is sent again in place of a new one, and
+// the front ends that have stored it are counted again.
 func (r *Replica) write(ev Write) {
 	reg := r.registerOf(ev.Key)
 	current, conflicts := reg.resolve()
@@ -63,14 +64,14 @@
 	r.persist(reg, func() { p.persisted = true })
 }
 
-// runPendingWrites sends and answers writes as they are due, and forgets those
-// that all have acknowledged, that are too old or that are superseded.
+// runPendingWrites sends the writes that are due and returns their results. It then removes
+// the writes that all members have stored, that are too old or that are superseded.
 func (r *Replica) runPendingWrites() {
 	for _, p := range r.pending {
 		if p.nextSendMS <= r.nowMS {
 			r.sendWrite(p)
 		}
-		r.answerWrite(p)
+		r.completeWrite(p)
 	}
 	r.pending = slices.DeleteFunc(r.pending, func(p *pendingWrite) bool {
 		if p.unanswered {
@@ -93,8 +94,8 @@
 	return list
 }
 
-// sendWrite sends a write to those who have not acknowledged it, live ones first:
-// the first time to all, later as far as the budget goes.
+// sendWrite sends a write to the members that have not acknowledged it, first to live
+// members. The first time it sends to all of them, later only until the budget is used up.
 func (r *Replica) sendWrite(p *pendingWrite) {
 	isFirst := p.nextSendMS == p.startedAtMS
 	p.nextSendMS = r.nowMS + r.resendAfterMS(p)
@@ -131,9 +132,9 @@
 	r.rng.Shuffle(len(peers), func(a, b int) { peers[a], peers[b] = peers[b], peers[a] })
 }
 
-// answerWrite answers the operator once enough front ends hold the write, or when
-// the time is up.
-func (r *Replica) answerWrite(p *pendingWrite) {
+// completeWrite returns the result of a write once enough front ends have stored it, or when
+// its time has passed.
+func (r *Replica) completeWrite(p *pendingWrite) {
 	isStored := p.replicas() >= p.requiredReplicas
 	isLate := r.nowMS >= p.startedAtMS+r.options.Times.WriteTimeoutMS
 	if !p.unanswered || !isStored && !isLate {
@@ -146,7 +147,7 @@
 	r.effects.Results = append(r.effects.Results, WriteResult{RequestID: p.requestID, Replicas: p.replicas(), OK: isStored})
 }
 
-// receiveAck notes that a member holds a write.
+// receiveAck records that a member has stored a write.
 func (r *Replica) receiveAck(from Peer, sequence uint32) {
 	for _, p := range r.pending {
 		if p.sequence == sequence {
--- a/internal/replication/writes_test.go
+++ b/internal/replication/writes_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// TestWriteResults checks that a write is answered once enough front ends hold it,
-// itself on its own disk, and with a failure and their number where too few do in
-// time; that it stays all the same; and that a write that changes nothing is not a
-// new one.
+// TestWriteResults checks that a write succeeds once enough front ends have stored it,
+// including this front end on its own disk. If too few have stored it in time, the result is
+// a failure, but the write stays in effect. A write that changes nothing is not counted as
+// a new write.
 func TestWriteResults(t *testing.T) {
 	r := New(Options{Name: "n0", ProcessID: 3, Durable: true}, 1)
 	others := []Peer{{Number: 1}, {Number: 2}, {Number: 3}, {Number: 4}}
@@ -20,25 +20,25 @@
 	}
 	effects := write(10)
 	if len(effects.Persists) != 1 || len(effects.Sends) < 4 || len(effects.Results) != 0 || len(effects.Changed) != 1 {
-		t.Fatalf("%+v", effects)
+		t.Fatalf("effects of a write: %+v", effects)
 	}
 	sequence := r.pending[0].sequence
 	for _, peer := range others[:2] {
 		effects = r.Apply(20, MessageReceived{peer, (&message{verb: verbAck, sequence: sequence}).append(nil)})
 	}
 	if len(effects.Results) != 0 {
-		t.Error("answered before the write is on the disk")
+		t.Error("the write has a result before it is on disk")
 	}
 	effects = r.Apply(30, Persisted{1})
 	if len(effects.Results) != 1 || effects.Results[0] != (WriteResult{8, 3, true}) {
-		t.Errorf("%+v", effects.Results)
+		t.Errorf("results %+v, want success with 3 replicas", effects.Results)
 	}
 	effects = write(40)
 	if r.Counters.Writes != 1 {
-		t.Error("the same write again is a new one")
+		t.Error("the repeated write counts as a new write")
 	}
 	if len(effects.Results) != 0 {
-		t.Errorf("answered before anybody could acknowledge it: %+v", effects.Results)
+		t.Errorf("the repeated write has a result before any member acknowledged it: %+v", effects.Results)
 	}
 	nowMS := 40.0
 	for len(effects.Results) == 0 {
@@ -46,12 +46,11 @@
 		effects = r.Apply(nowMS, TimerFired{})
 	}
 	if effects.Results[0].OK || !r.IsDisabled(key) || nowMS > 5000 {
-		t.Errorf("%+v at %.0f, disabled %v", effects.Results, nowMS, r.IsDisabled(key))
+		t.Errorf("results %+v after %.0f ms, disabled %v", effects.Results, nowMS, r.IsDisabled(key))
 	}
 }
 
-// BenchmarkLearn measures the cost of a write that is received, is new and is
-// forwarded.
+// BenchmarkLearn measures the cost of receiving a new write and forwarding it.
 func BenchmarkLearn(b *testing.B) {
 	r := New(Options{Name: "n0", ProcessID: 3}, 1)
 	r.Apply(0, Start{})
