--- a/internal/cluster/adminjson.go
+++ b/internal/cluster/adminjson.go
@@ -11,10 +11,11 @@
 	"dewhill/internal/replication"
 )
 
-// timestampShift separates the ms of a replicated timestamp from its counter.
+// timestampShift is the number of low bits of a replicated timestamp that are a counter.
+// The bits above them are Unix time in ms.
 const timestampShift = 16
 
-// fleetJSON is the answer to GET /control/fleet.
+// fleetJSON is the response to GET /control/fleet.
 type fleetJSON struct {
 	Self        string       `json:"self"`
 	Incarnation uint32       `json:"incarnation"`
@@ -30,10 +31,10 @@
 	Address     string `json:"address"`
 	Incarnation uint32 `json:"incarnation"`
 	State       string `json:"state"`
-	InStateMS   int64  `json:"since_ms"` // 0 if nothing was heard of it
+	InStateMS   int64  `json:"since_ms"` // 0 if no message about the member was received
 }
 
-// stateJSON is the answer to GET /control/state.
+// stateJSON is the response to GET /control/state.
 type stateJSON struct {
 	Digest          string               `json:"digest"`
 	Overrides       int                  `json:"entries"`
@@ -44,8 +45,8 @@
 	Leases          leaseSummaryJSON     `json:"loads"`
 }
 
-// conflictJSON is an engine or a front end with concurrent overrides, the one in
-// force first.
+// conflictJSON is an engine or a front end with concurrent overrides. The override that is
+// in effect is first.
 type conflictJSON struct {
 	Engine    string         `json:"engine,omitempty"`
 	FrontEnd  string         `json:"front_end,omitempty"`
@@ -66,7 +67,7 @@
 	UnixMS uint64 `json:"at_ms"`
 }
 
-// leaseSummaryJSON counts the leases known here by state.
+// leaseSummaryJSON counts the leases that are recorded on this front end, by state.
 type leaseSummaryJSON struct {
 	CanVote    bool `json:"votes"`
 	Held       int  `json:"claimed"`
@@ -74,13 +75,13 @@
 	Ended      int  `json:"ended"`
 }
 
-// marshal encodes one of this file's types, which always succeeds.
+// marshal encodes a value of one of the types in this file, which always succeeds.
 func marshal(v any) []byte {
 	b, _ := json.Marshal(v)
 	return b
 }
 
-// MembersJSON returns the view of the fleet as operators see it, in JSON.
+// MembersJSON returns the view of the fleet for operators, as JSON.
 func (c *Cluster) MembersJSON() []byte {
 	view := c.members.view
 	members := []memberJSON{}
@@ -100,7 +101,7 @@
 
 func (c *Cluster) memberJSON(m membership.Member) memberJSON {
 	shown := memberJSON{Name: m.Name, Address: m.Addr.String(), Incarnation: m.Incarnation, State: m.State.String()}
-	if shown.Name == "" { // not learned yet
+	if shown.Name == "" { // no message with the name has been received
 		shown.Name = shown.Address
 	}
 	if m.State != membership.Unknown {
@@ -111,8 +112,8 @@
 
 func formatDigest(digest uint64) string { return fmt.Sprintf("%016x", digest) }
 
-// StateJSON returns the replicated state as operators see it, in JSON; nil:
-// replication is off.
+// StateJSON returns the replicated state for operators, as JSON, or nil if replication is
+// off.
 func (c *Cluster) StateJSON() []byte {
 	if c.overrides == nil {
 		return nil
@@ -169,7 +170,7 @@
 	}
 }
 
-// countersJSON are the counters as operators see them, in the order of their keys.
+// countersJSON are the counters for operators, in the order of their keys.
 type countersJSON struct {
 	Health      int                   `json:"health"`
 	Datagrams   Counters              `json:"link"`
@@ -179,7 +180,7 @@
 	Replication *replication.Counters `json:"words,omitempty"`
 }
 
-// CountersReport returns the counters of all parts, to be encoded in JSON.
+// CountersReport returns the counters of all components, to be encoded as JSON.
 func (c *Cluster) CountersReport() any {
 	report := countersJSON{
 		Health:     c.members.view.Health(),
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -10,71 +10,72 @@
 	"dewhill/internal/replication"
 )
 
-// Host is the event loop that a Cluster is confined to.
+// Host is the event loop to which a Cluster is confined.
 type Host interface {
 	// Now returns the loop's time in ms.
 	Now() float64
-	// After calls f in the loop after some ms.
+	// After calls f in the loop after the given number of ms.
 	After(ms float64, f func())
 	// Post calls f in the loop soon. It may be called on any goroutine.
 	Post(f func())
 	Logf(format string, args ...any)
 }
 
-// Link sends datagrams to the listed front end num or, where that is negative, to
-// an address.
+// Link sends datagrams to the configured front end num or, if num is negative, to an
+// address.
 type Link interface {
 	SendTo(num int, to netip.AddrPort, msg []byte) error
 }
 
 // Store is durable storage (internal/store).
 type Store interface {
-	// Get returns the value of a key; nil: none.
+	// Get returns the value of a key, or nil if there is none.
 	Get(key string) ([]byte, error)
-	// All returns the values whose keys have a prefix, by the rest of the key.
+	// All returns the values whose keys begin with a prefix, by the rest of the key.
 	All(prefix string) (map[string][]byte, error)
-	// PutAsync writes a value and then calls the function, if it is not nil, on any
-	// goroutine, once the value is durable.
+	// PutAsync stores a value. Once the value is durable, it calls the callback, unless
+	// that is nil, on any goroutine.
 	PutAsync(key string, value []byte, callback func())
 }
 
 // Identity identifies this front end.
 type Identity struct {
 	Name  string
-	Index int              // in Peers
-	Peers []netip.AddrPort // configured front ends; none: unlisted fleet
+	Index int              // index in Peers
+	Peers []netip.AddrPort // configured front ends; empty if none are configured
 	Addr  netip.AddrPort
-	Seed  uint64 // for random choices, another one in each process
+	Seed  uint64 // for random choices; different in each process
 }
 
-// The prefix of persisted keys of each state machine, and the key of the
-// incarnation.
+// The key of the persisted incarnation, and the prefix of the persisted keys of each of the
+// other state machines.
 const (
 	incarnationKey    = "incarnation"
 	overrideKeyPrefix = "word/"
 	leaseKeyPrefix    = "loads/"
 )
 
-// maxLoggedChanges bounds the log lines about changes, for logs that are kept in
+// maxLoggedChanges limits the log lines about changes, because a log may be kept in
 // memory.
 const maxLoggedChanges = 500
 
-// Counters count the datagrams of all parts since the start.
+// Counters count the datagrams of all components since the start of the process.
 type Counters struct {
 	DatagramsSent     int            `json:"Sent"`
 	DatagramsReceived int            `json:"Received"`
-	UnknownKind       int            `json:"Foreign"` // for a part that is off, or of an unknown kind
+	UnknownKind       int            `json:"Foreign"` // of an unknown kind, or for a component that is off
 	Malformed         int            `json:"Spoilt"`
 	OtherVersion      int            `json:"OtherVersion"`
 	SendErrors        int            `json:"SendErrors"`
 	BytesSentByKind   map[string]int `json:"Bytes"`
 }
 
-// Cluster is one front end's part in the state that the fleet shares.
+// Cluster runs the components of one front end that maintain the state that the fleet
+// shares.
 type Cluster struct {
 	host     Host
 	link     Link
-	store    Store // nil: none
+	store    Store // nil: no durable storage
 	identity Identity
 	closed   bool
 
@@ -85,10 +86,11 @@
 	Counters Counters
 }
 
-// New starts this front end's part. included is called with the listed front ends
-// that are included in the division of work, by number, each time they change; nil:
-// not wanted. Without a store, others tell a restarted front end which incarnation
-// it had.
+// New starts the components of this front end. Unless included is nil, it is called each
+// time when the set of configured front ends that are included in the division of work
+// changes; its argument reports for each front end, by number, whether it is included.
+// Without a store, a restarted front end receives its previous incarnation from other front
+// ends.
 func New(options Options, identity Identity, host Host, link Link, store Store, included func([]bool)) *Cluster {
 	c := &Cluster{host: host, link: link, store: store, identity: identity}
 	c.Counters.BytesSentByKind = map[string]int{}
@@ -107,7 +109,7 @@
 	return c
 }
 
-// membersChanged notifies the layers above the view of a change.
+// membersChanged notifies the layers above the view of a change of the members.
 func (c *Cluster) membersChanged() {
 	if c.overrides == nil {
 		return
@@ -116,8 +118,8 @@
 	c.leases.apply(lease.MembersChanged(c.members.view.Roster()))
 }
 
-// Send sends a message of a kind to the listed front end num or, where that is
-// negative, to an address. A failure is counted, and the first one logged.
+// Send sends a message of a kind to the configured front end num or, if num is negative, to
+// an address. Failures are counted, and the first failure is logged.
 func (c *Cluster) Send(kind peer.Kind, num int, to netip.AddrPort, body []byte) {
 	datagram := peer.Wrap(kind, body)
 	c.Counters.DatagramsSent++
@@ -130,16 +132,16 @@
 	}
 }
 
-// sendAll sends the messages of a part.
+// sendAll sends the messages of a component.
 func (c *Cluster) sendAll(kind peer.Kind, sends []membership.Send) {
 	for _, send := range sends {
 		c.Send(kind, send.To.Number, send.To.Addr, send.Message)
 	}
 }
 
-// Receive handles a datagram from the listed front end num or, where that is
-// negative, from an address. A malformed one, one of another version and one that
-// no part takes are counted and dropped.
+// Receive handles a datagram from the configured front end num or, if num is negative, from
+// an address. It counts and drops datagrams that are malformed, of another version, or of a
+// kind that no component handles.
 func (c *Cluster) Receive(num int, from netip.AddrPort, datagram []byte) {
 	c.Counters.DatagramsReceived++
 	kind, body, err := peer.Unwrap(datagram)
@@ -168,8 +170,8 @@
 	return membership.Peer{Number: num, Addr: from}
 }
 
-// persistedRecords returns the values that were stored under a prefix. An error is logged
-// and counts as none.
+// persistedRecords returns the values that are stored under a prefix. If they cannot be
+// read, it logs the error and returns no values.
 func (c *Cluster) persistedRecords(prefix, component string) map[string][]byte {
 	if c.store == nil {
 		return nil
@@ -181,15 +183,15 @@
 	return values
 }
 
-// persist stores a value and then calls a function in the loop.
+// persist stores a value, and calls the callback in the loop once the value is durable.
 func (c *Cluster) persist(key string, value []byte, callback func()) {
 	c.store.PutAsync(key, value, func() { c.host.Post(callback) })
 }
 
-// Leave announces that this front end shuts down. It goes on answering until
-// Close.
+// Leave announces that this front end is shutting down. The front end still replies to
+// messages until Close.
 func (c *Cluster) Leave() { c.members.apply(membership.ShutdownStarted{}) }
 
-// Close ends this front end's part without an announcement: another process has
-// taken its place.
+// Close stops the components of this front end without an announcement, because another
+// process has replaced this process.
 func (c *Cluster) Close() { c.closed = true }
--- a/internal/cluster/compat_persisted_test.go
+++ b/internal/cluster/compat_persisted_test.go
@@ -16,7 +16,7 @@
 	"dewhill/internal/replication"
 )
 
-// compatHost is an event loop whose clock does not move.
+// compatHost is an event loop with a fixed time.
 type compatHost struct{ posted []func() }
 
 func (h *compatHost) Now() float64          { return 5000 }
@@ -31,7 +31,7 @@
 	}
 }
 
-// compatLink records what is sent.
+// compatLink records the messages that are sent.
 type compatLink struct{ sent [][]byte }
 
 func (l *compatLink) SendTo(_ int, _ netip.AddrPort, msg []byte) error {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// compatStore is a store in memory.
+// compatStore is an in-memory store.
 type compatStore map[string][]byte
 
 func (m compatStore) Get(key string) ([]byte, error) { return m[key], nil }
@@ -69,7 +69,7 @@
 }
 func (m compatWatcher) CaughtUp() {}
 
-// startCompat starts the part of the first of three front ends.
+// startCompat starts the first of three front ends.
 func startCompat(store compatStore) (*Cluster, *compatHost, *compatLink) {
 	options := DefaultOptions()
 	options.Enabled = true
@@ -93,7 +93,7 @@
 	store := compatStore(maps.Clone(golden))
 	c, _, _ := startCompat(store)
 	if got := c.members.view.Incarnation(); got != 301 {
-		t.Errorf("incarnation %d after 300", got)
+		t.Errorf("incarnation %d, want 301 after the stored 300", got)
 	}
 	watcher := compatWatcher{}
 	c.WatchOverrides(watcher)
@@ -103,10 +103,10 @@
 	}
 	leases := c.leases.manager.CountByState()
 	if !c.leases.manager.CanVote() || leases[lease.Held] != 1 || leases[lease.Ended] != 1 {
-		t.Errorf("can vote: %v, leases %v", c.leases.manager.CanVote(), leases)
+		t.Errorf("can vote: %v, leases by state %v, want one held and one ended", c.leases.manager.CanVote(), leases)
 	}
 	if got := hex.EncodeToString(store["incarnation"]); got != "ad02" {
-		t.Errorf("the next incarnation is stored as %s", got)
+		t.Errorf("the next incarnation is stored as %s, want ad02", got)
 	}
 	store["incarnation"] = golden["incarnation"]
 	if !maps.EqualFunc(store, golden, bytes.Equal) {
@@ -114,9 +114,9 @@
 	}
 }
 
-// TestCompatDatagrams checks that a datagram of each kind, as the previous version
-// sends it, is accepted, stored under its key, and answered with a datagram that the
-// previous version accepts.
+// TestCompatDatagrams checks that a datagram of each kind, as the previous version sends
+// it, is accepted, that its content is stored under the expected key, and that the reply is
+// a datagram that the previous version accepts.
 func TestCompatDatagrams(t *testing.T) {
 	received := goldentest.Read(t, "heard.txt")
 	replies := goldentest.Read(t, "answers.txt")
@@ -134,7 +134,7 @@
 			c.Receive(1, netip.AddrPort{}, received[name])
 			host.run()
 			if c.Counters.Malformed+c.Counters.UnknownKind+c.Counters.OtherVersion > 0 {
-				t.Errorf("not accepted: %+v", c.Counters)
+				t.Errorf("the datagram was not accepted: %+v", c.Counters)
 			}
 			for _, key := range keys {
 				if !bytes.Equal(store[key], stored[key]) {
@@ -146,14 +146,14 @@
 				return wantReply && bytes.HasPrefix(withoutSenderID(msg), reply)
 			})
 			if found != wantReply {
-				t.Errorf("reply %x among %x", reply, link.sent)
+				t.Errorf("reply %x sent: %v, want %v; sent %x", reply, found, wantReply, link.sent)
 			}
 		})
 	}
 }
 
-// withoutSenderID returns a datagram's kind and body, with the sender ID, which each
-// process draws at random, cleared in those of leases.
+// withoutSenderID returns the kind and body of a datagram. In datagrams of leases, it sets
+// the sender ID to 0, because each process chooses its ID at random.
 func withoutSenderID(msg []byte) []byte {
 	kind, body, err := peer.Unwrap(msg)
 	if err != nil {
--- a/internal/cluster/compat_test.go
+++ b/internal/cluster/compat_test.go
@@ -15,8 +15,8 @@
 	"dewhill/internal/replication"
 )
 
-// TestCompatOptions reads a golden settings file, which sets every key, each to a
-// value of its own that is not the default.
+// TestCompatOptions checks that a golden settings file is read correctly. The file sets
+// every key to a distinct value that is not the default.
 func TestCompatOptions(t *testing.T) {
 	text, err := os.ReadFile("testdata/compat/group.toml")
 	if err != nil {
@@ -51,7 +51,7 @@
 		seeds: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.4:7946"), netip.MustParseAddrPort("10.0.0.5:7947")},
 	}
 	if !reflect.DeepEqual(o, want) {
-		t.Errorf("%+v, want %+v", o, want)
+		t.Errorf("options %+v, want %+v", o, want)
 	}
 	wantTimes := membership.Times{
 		ProbeIntervalMS:     1001,
@@ -63,7 +63,7 @@
 		DatagramsPerSecond:  4.5,
 	}
 	if o.Times() != wantTimes {
-		t.Errorf("times %+v", o.Times())
+		t.Errorf("times %+v, want %+v", o.Times(), wantTimes)
 	}
 	wantReplicationTimes := replication.Times{
 		ResendMS:          201,
@@ -73,7 +73,7 @@
 		BytesPerSecond:    8193,
 	}
 	if o.Replication.Times() != wantReplicationTimes {
-		t.Errorf("replication times %+v", o.Replication.Times())
+		t.Errorf("replication times %+v, want %+v", o.Replication.Times(), wantReplicationTimes)
 	}
 	checkAllRead(t, reflect.ValueOf(o), reflect.ValueOf(DefaultOptions()))
 
@@ -84,12 +84,12 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again.Bytes(), text) {
-		t.Errorf("encoded again:\n%s", again.Bytes())
+		t.Errorf("the options are encoded as\n%s\nwant\n%s", again.Bytes(), text)
 	}
 }
 
-// checkAllRead fails for each field that has its default: the golden file was to set
-// all of them.
+// checkAllRead fails for each field that has its default value, because the golden file is
+// meant to set all fields.
 func checkAllRead(t *testing.T, v, defaults reflect.Value) {
 	t.Helper()
 	for i := range v.NumField() {
@@ -99,13 +99,13 @@
 		case field.Type.Kind() == reflect.Struct:
 			checkAllRead(t, v.Field(i), defaults.Field(i))
 		case reflect.DeepEqual(v.Field(i).Interface(), defaults.Field(i).Interface()):
-			t.Errorf("%s has its default", field.Name)
+			t.Errorf("%s has its default value", field.Name)
 		}
 	}
 }
 
-// TestCompatDefaults checks the defaults, which hold without a file and with the
-// shipped one. All front ends of a fleet that is being upgraded must have the same.
+// TestCompatDefaults checks the defaults, which apply without a file and with the shipped
+// file. All front ends of a fleet that is being upgraded must have the same defaults.
 func TestCompatDefaults(t *testing.T) {
 	want := Options{
 		MaxDatagramBytes:    256,
@@ -126,8 +126,8 @@
 	}
 }
 
-// idleHost is an event loop whose clock does not move and which runs nothing, and a
-// link that drops all datagrams.
+// idleHost is an event loop that has a fixed time and calls no functions, and a link that
+// drops all datagrams.
 type idleHost struct{}
 
 func (idleHost) Now() float64                             { return 1e12 }
@@ -136,7 +136,7 @@
 func (idleHost) Logf(string, ...any)                      {}
 func (idleHost) SendTo(int, netip.AddrPort, []byte) error { return nil }
 
-// newTestCluster returns the part of one of two front ends.
+// newTestCluster returns the cluster of one of two front ends.
 func newTestCluster() *Cluster {
 	options := DefaultOptions()
 	options.Enabled = true
@@ -146,8 +146,8 @@
 	return New(options, identity, idleHost{}, idleHost{}, nil, nil)
 }
 
-// fillCounters gives each number of a struct of counters a value of its own, in the
-// order of the fields, and each map one entry.
+// fillCounters sets each number in a struct of counters to a distinct value, in the order
+// of the fields, and adds one entry to each map.
 func fillCounters(v reflect.Value, next *int) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -161,11 +161,11 @@
 	case reflect.Int:
 		*next++
 		v.SetInt(int64(*next))
-	default: // no counter
+	default: // not a counter
 	}
 }
 
-// checkGoldenJSON compares a value, encoded in JSON, with a golden file.
+// checkGoldenJSON compares a value, encoded as JSON, with a golden file.
 func checkGoldenJSON(t *testing.T, name string, v any) {
 	t.Helper()
 	text, err := json.MarshalIndent(v, "", "  ")
@@ -177,11 +177,11 @@
 		t.Fatal(err)
 	}
 	if text = append(text, '\n'); !bytes.Equal(text, want) {
-		t.Errorf("%s: written\n%s", name, text)
+		t.Errorf("%s: encoded\n%s\nwant\n%s", name, text, want)
 	}
 }
 
-// TestCompatReport checks the counters as operators see them.
+// TestCompatReport checks the encoding of the counters for operators.
 func TestCompatReport(t *testing.T) {
 	c := newTestCluster()
 	next := 0
@@ -191,7 +191,7 @@
 	checkGoldenJSON(t, "report.json", c.CountersReport())
 }
 
-// TestCompatFleet checks the answer to GET /control/fleet.
+// TestCompatFleet checks the response to GET /control/fleet.
 func TestCompatFleet(t *testing.T) {
 	var view map[string]any
 	if err := json.Unmarshal(newTestCluster().MembersJSON(), &view); err != nil {
@@ -200,8 +200,8 @@
 	checkGoldenJSON(t, "fleet.json", view)
 }
 
-// TestCompatState checks the answer to GET /control/state, here with concurrent
-// overrides of an engine and of a front end.
+// TestCompatState checks the response to GET /control/state with concurrent overrides of an
+// engine and of a front end.
 func TestCompatState(t *testing.T) {
 	c := newTestCluster()
 	other := replication.New(replication.Options{Name: "gw-8", ProcessID: 77}, 6)
@@ -221,7 +221,7 @@
 	if err := json.Unmarshal(c.StateJSON(), &state); err != nil {
 		t.Fatal(err)
 	}
-	state["digest"] = "" // this and the times differ from run to run
+	state["digest"] = "" // the digest and the times differ from run to run
 	for _, c := range state["conflicts"].([]any) {
 		for _, override := range c.(map[string]any)["words"].([]any) {
 			override.(map[string]any)["at_ms"] = 0
@@ -233,15 +233,16 @@
 	checkGoldenJSON(t, "state.json", state)
 }
 
-// TestCompatWriteResult checks the answer to an override that too few front ends have.
+// TestCompatWriteResult checks the response to an override that too few front ends have
+// stored.
 func TestCompatWriteResult(t *testing.T) {
 	text, err := json.Marshal(WriteResult{Replicas: 1, Required: 2})
 	if want := `{"kept":1,"needed":2}`; err != nil || string(text) != want {
-		t.Errorf("%s, %v, want %s", text, err, want)
+		t.Errorf("encoded %s, %v, want %s", text, err, want)
 	}
 }
 
-// TestCompatNames checks the names of states and datagram kinds that operators see.
+// TestCompatNames checks the names of states and datagram kinds in reports for operators.
 func TestCompatNames(t *testing.T) {
 	states := map[membership.State]string{
 		membership.Unknown: "unknown",
@@ -269,7 +270,7 @@
 	}
 }
 
-// TestCompatLeaseSummary checks the leases in the answer to GET /control/state.
+// TestCompatLeaseSummary checks the leases in the response to GET /control/state.
 func TestCompatLeaseSummary(t *testing.T) {
 	text, err := json.Marshal(leaseSummaryJSON{CanVote: true, Held: 1, MayHaveRun: 2, Ended: 3})
 	if want := `{"votes":true,"claimed":1,"may_have_run":2,"ended":3}`; err != nil || string(text) != want {
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -7,7 +7,7 @@
 	"dewhill/internal/peer"
 )
 
-// leaseAdapter connects this front end's part in granting leases of loads.
+// leaseAdapter connects the lease manager of this front end to its Cluster.
 type leaseAdapter struct {
 	cluster       *Cluster
 	manager       *lease.Manager
@@ -29,7 +29,7 @@
 	return l
 }
 
-// apply gives the lease manager an event and carries out its effects.
+// apply passes an event to the lease manager and carries out the effects.
 func (l *leaseAdapter) apply(event lease.Event) {
 	effects := l.manager.Apply(l.cluster.host.Now(), event)
 	for _, record := range effects.Persists {
@@ -47,7 +47,7 @@
 	l.timer.schedule(l.cluster, l.manager.NextTimerMS(), func() { l.apply(lease.TimerFired{}) })
 }
 
-// complete gives a decision to the request that it belongs to.
+// complete passes a decision to the request that it belongs to.
 func (l *leaseAdapter) complete(decision lease.Decision) {
 	callback := l.waiting[decision.RequestID]
 	if callback == nil {
@@ -60,10 +60,12 @@
 	callback(decision)
 }
 
-// AcquireLease requests the right to run a load, identified by its key and a
-// fingerprint of its content, within a time in ms. isRetry: the client has sent
-// the load before. callback is called once, in the loop.
-func (c *Cluster) AcquireLease(k lease.Key, fingerprint uint64, withinMS float64, isRetry bool, callback func(lease.Decision)) {
+// AcquireLease requests the right to run a load, which is identified by its key and a
+// fingerprint of its content. The decision is made within withinMS. isRetry means that the
+// client has sent the load before. callback is called once, in the loop.
+func (c *Cluster) AcquireLease(
+	k lease.Key, fingerprint uint64, withinMS float64, isRetry bool, callback func(lease.Decision),
+) {
 	l := c.leases
 	l.lastRequestID++
 	l.waiting[l.lastRequestID] = callback
@@ -76,15 +78,15 @@
 	})
 }
 
-// ReleaseLease reports how a load ended for which a lease was granted, with the
-// outcome of one that completed.
+// ReleaseLease reports how a load with a granted lease has ended. outcome is the outcome of
+// a completed load.
 func (c *Cluster) ReleaseLease(k lease.Key, result lease.RunResult, outcome []byte) {
 	c.leases.granted--
 	c.leases.apply(lease.Released{Key: k, Result: result, Outcome: outcome})
 }
 
-// PendingLeases returns the number of lease requests without a decision and of
-// leases that were granted and not released.
+// PendingLeases returns the number of lease requests without a decision plus the number of
+// granted leases that have not been released.
 func (c *Cluster) PendingLeases() int {
 	if c.leases == nil {
 		return 0
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -8,11 +8,11 @@
 	"dewhill/internal/peer"
 )
 
-// damperIntervalMS is between observations of who is included in the division of
-// work.
+// damperIntervalMS is the interval between observations of the front ends that are included
+// in the division of work.
 const damperIntervalMS = 1000.0
 
-// memberAdapter connects the view of the fleet.
+// memberAdapter connects the view of the fleet to its Cluster.
 type memberAdapter struct {
 	cluster              *Cluster
 	view                 *membership.View
@@ -47,7 +47,8 @@
 	return m
 }
 
-// nextIncarnation returns the incarnation after the persisted one; 0: none is.
+// nextIncarnation returns the incarnation after the persisted one, or 0 if none is
+// persisted or it cannot be read.
 func (m *memberAdapter) nextIncarnation() uint32 {
 	if m.cluster.store == nil {
 		return 0
@@ -64,8 +65,8 @@
 	return uint32(last) + 1
 }
 
-// observeIncluded publishes who is included in the division of work, if that has
-// changed, and repeats.
+// observeIncluded publishes the front ends that are included in the division of work if they
+// have changed, and schedules the next observation.
 func (m *memberAdapter) observeIncluded() {
 	if m.cluster.closed {
 		return
@@ -76,7 +77,7 @@
 	m.cluster.host.After(damperIntervalMS, m.observeIncluded)
 }
 
-// apply gives the view an event and carries out its effects.
+// apply passes an event to the view and carries out the effects.
 func (m *memberAdapter) apply(event membership.Event) {
 	effects := m.view.Apply(m.cluster.host.Now(), event)
 	for _, change := range effects.Changes {
@@ -98,8 +99,8 @@
 	}
 }
 
-// persistIncarnation stores this front end's incarnation when it changes, so that
-// its next process begins above it.
+// persistIncarnation stores this front end's incarnation when it changes, so that the next
+// process starts with a larger incarnation.
 func (m *memberAdapter) persistIncarnation() {
 	incarnation := m.view.Incarnation()
 	if m.cluster.store == nil || incarnation == m.persistedIncarnation {
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -14,13 +14,14 @@
 	"dewhill/internal/replication"
 )
 
-// Options are the operators' settings, from the TOML file of the flag -group.
+// Options are the operators' settings. They are read from the TOML file that the flag
+// -group names.
 type Options struct {
 	Enabled          bool     `toml:"on"`
 	MaxDatagramBytes int      `toml:"datagram"`
-	Seeds            []string `toml:"seeds"`     // addresses to join by, where no peers are configured
-	FleetSize        int      `toml:"size"`      // number of front ends, for quorums; 0: as configured or known
-	StateDir         string   `toml:"state_dir"` // directory of durable state (internal/store); empty: none
+	Seeds            []string `toml:"seeds"`     // addresses to join through if no peers are configured
+	FleetSize        int      `toml:"size"`      // number of front ends, for quorums; 0: number of members in the view
+	StateDir         string   `toml:"state_dir"` // directory for durable state (internal/store); empty: none
 
 	ProbeIntervalMS     float64 `toml:"period_ms"`
 	ProbeTimeoutMS      float64 `toml:"retry_ms"`
@@ -35,10 +36,11 @@
 	seeds []netip.AddrPort // Seeds, parsed
 }
 
-// WriteQuorum is which front ends must have an override before its write succeeds.
+// WriteQuorum identifies the front ends that must have stored an override before its write
+// succeeds.
 type WriteQuorum string
 
-// The quorums, as the settings name them.
+// The values of WriteQuorum, as they appear in the settings.
 const (
 	QuorumSelf     WriteQuorum = "here"
 	QuorumMajority WriteQuorum = "majority"
@@ -80,7 +82,7 @@
 	}
 }
 
-// DefaultOptions returns the options without a file: all is off.
+// DefaultOptions returns the options that apply without a file: everything is off.
 func DefaultOptions() Options {
 	times := membership.DefaultTimes()
 	return Options{
@@ -108,22 +110,22 @@
 	}
 }
 
-// ReadOptions reads the options from a file. Without the file the defaults hold.
-// The error about an invalid setting names the file, the key and, where it can, the
-// line.
+// ReadOptions reads the options from a file. If the file does not exist, it returns the
+// defaults. The error for an invalid setting contains the file, the key and, if possible,
+// the line.
 func ReadOptions(path string) (Options, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return DefaultOptions(), nil
 	}
 	if err != nil {
-		return Options{}, err // names the operation and the path
+		return Options{}, err // contains the operation and the path
 	}
 	return ParseOptions(path, text)
 }
 
-// ParseOptions reads the options from the text of a file. The name of the file
-// begins the text of an error.
+// ParseOptions reads the options from the text of a file. Errors start with the name of the
+// file.
 func ParseOptions(name string, text []byte) (Options, error) {
 	options := DefaultOptions()
 	metadata, err := toml.Decode(string(text), &options)
--- a/internal/cluster/overrides.go
+++ b/internal/cluster/overrides.go
@@ -11,30 +11,30 @@
 
 // OverrideWatcher is notified of administrative overrides.
 type OverrideWatcher interface {
-	// OverrideChanged reports that an engine or a front end was taken out of service
-	// (disabled), or put back, by an operator's call to the front end origin.
+	// OverrideChanged reports that an operator has taken an engine or a front end out of
+	// service, or has put it back into service, by a call to the front end origin.
 	OverrideChanged(k replication.Key, disabled bool, origin string)
-	// CaughtUp reports that this front end has the fleet's overrides, or that its
-	// time to obtain them has passed.
+	// CaughtUp reports that this front end has received the fleet's overrides, or that
+	// the time for receiving them has passed.
 	CaughtUp()
 }
 
 // WriteResult is the result of writing an override.
 type WriteResult struct {
-	Replicas int  `json:"kept"`   // front ends that have it
-	Required int  `json:"needed"` // front ends that must have it
-	OK       bool `json:"-"`      // enough have it
+	Replicas int  `json:"kept"`   // front ends that have stored the override
+	Required int  `json:"needed"` // front ends that must have stored it
+	OK       bool `json:"-"`      // enough front ends have stored it
 }
 
-// overrideAdapter connects this front end's replica of the overrides.
+// overrideAdapter connects this front end's replica of the overrides to its Cluster.
 type overrideAdapter struct {
 	cluster       *Cluster
 	replica       *replication.Replica
-	watcher       OverrideWatcher // nil: none yet
+	watcher       OverrideWatcher // nil: WatchOverrides has not been called
 	quorum        WriteQuorum
 	timer         timer
 	caughtUp      bool
-	writes        map[uint64]chan<- WriteResult // waiting for a result, by request ID
+	writes        map[uint64]chan<- WriteResult // writes without a result, by request ID
 	lastRequestID uint64
 	loggedChanges int
 }
@@ -52,7 +52,7 @@
 	return o
 }
 
-// apply gives the replica an event and carries out its effects.
+// apply passes an event to the replica and carries out the effects.
 func (o *overrideAdapter) apply(event replication.Event) {
 	effects := o.replica.Apply(o.cluster.host.Now(), event)
 	for _, change := range effects.Changed {
@@ -82,18 +82,18 @@
 	}
 }
 
-// complete answers the write that a result belongs to.
+// complete passes a result to the write that it belongs to.
 func (o *overrideAdapter) complete(result replication.WriteResult) {
 	results := o.writes[result.RequestID]
 	if results == nil {
 		return
 	}
-	// The channel has capacity for it: see WriteOverride.
+	// The channel has capacity for the result: see WriteOverride.
 	results <- WriteResult{Replicas: result.Replicas, Required: o.requiredReplicas(), OK: result.OK}
 	delete(o.writes, result.RequestID)
 }
 
-// notifyCaughtUp notifies the watcher once, when the replica has caught up.
+// notifyCaughtUp notifies the watcher once, after the replica has caught up.
 func (o *overrideAdapter) notifyCaughtUp() {
 	if o.caughtUp || o.watcher == nil || !o.replica.Ready() {
 		return
@@ -104,8 +104,8 @@
 	o.watcher.CaughtUp()
 }
 
-// requiredReplicas returns how many front ends must have an override before its
-// write succeeds.
+// requiredReplicas returns the number of front ends that must have stored an override
+// before its write succeeds.
 func (o *overrideAdapter) requiredReplicas() int {
 	if o.quorum == QuorumSelf {
 		return 1
@@ -116,12 +116,12 @@
 // Replicates reports whether overrides and leases are on.
 func (c *Cluster) Replicates() bool { return c.overrides != nil }
 
-// CaughtUp reports whether this front end has caught up with the fleet's
-// overrides. It is true where replication is off.
+// CaughtUp reports whether this front end has caught up with the fleet's overrides. It
+// returns true if replication is off.
 func (c *Cluster) CaughtUp() bool { return c.overrides == nil || c.overrides.caughtUp }
 
-// WatchOverrides notifies a watcher of all overrides, first of those that are
-// known. It does nothing where replication is off.
+// WatchOverrides notifies a watcher of the current overrides, and then of every change. It
+// does nothing if replication is off.
 func (c *Cluster) WatchOverrides(watcher OverrideWatcher) {
 	o := c.overrides
 	if o == nil {
@@ -134,9 +134,9 @@
 	o.apply(replication.TimerFired{})
 }
 
-// WriteOverride takes an engine or a front end out of service, or puts it back.
-// The result comes on the channel, which must have capacity for it. An error: the
-// ID is too long.
+// WriteOverride takes an engine or a front end out of service, or puts it back into
+// service. The result is sent to the channel, which must have capacity for it.
+// WriteOverride returns an error if the ID is too long.
 func (c *Cluster) WriteOverride(k replication.Key, disabled bool, results chan<- WriteResult) error {
 	if len(k.ID) > replication.MaxIDBytes {
 		return fmt.Errorf("the name is longer than %d bytes", replication.MaxIDBytes)
--- a/internal/cluster/timer.go
+++ b/internal/cluster/timer.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-// timer fires when a state machine has work to do. The loop can't cancel a timer:
-// one that was set for an earlier time is ignored when it fires too early.
+// timer fires when a state machine has work to do. Calls that are scheduled in the loop
+// cannot be cancelled: a call that comes before dueMS is ignored.
 type timer struct{ dueMS float64 } // 0: not set
 
-// schedule sets the timer, unless it is set for an earlier time. An infinite time
-// is never due.
+// schedule sets the timer, unless it is already set for the same or an earlier time. A timer
+// with an infinite time never fires.
 func (t *timer) schedule(c *Cluster, dueMS float64, fire func()) {
 	if c.closed || math.IsInf(dueMS, 1) || t.dueMS != 0 && dueMS >= t.dueMS {
 		return
--- a/internal/cluster/validate.go
+++ b/internal/cluster/validate.go
@@ -10,21 +10,21 @@
 	"dewhill/internal/peer"
 )
 
-// settingError is that a setting is invalid.
+// settingError is the error for an invalid setting.
 type settingError struct {
-	key string // as it stands in the file
+	key string // as in the file
 	err error
 }
 
 // Error implements error.
 func (e *settingError) Error() string { return e.key + " " + e.err.Error() }
 
-// Unwrap returns why the setting is invalid.
+// Unwrap returns the reason why the setting is invalid.
 func (e *settingError) Unwrap() error { return e.err }
 
 const dayMS = 86_400_000
 
-// minDatagramsPerPeriod is what probes need of the send rate.
+// minDatagramsPerPeriod is the number of datagrams per probe interval that probes need.
 const minDatagramsPerPeriod = 2.5
 
 // settingRange is the range of a numeric setting.
@@ -33,7 +33,7 @@
 	value, min, max float64
 }
 
-// ranges returns the range of each numeric setting. Some depend on others.
+// ranges returns the range of each numeric setting. Some ranges depend on other settings.
 func (o *Options) ranges() []settingRange {
 	r := &o.Replication
 	return []settingRange{
@@ -54,12 +54,12 @@
 	}
 }
 
-// validate returns a settingError for the first invalid setting, and parses the
-// seeds.
+// validate checks the settings and parses the seeds. It returns a settingError for the first
+// invalid setting.
 func (o *Options) validate() error {
 	for _, r := range o.ranges() {
 		if !(r.value >= r.min && r.value <= r.max) { // so that NaN is invalid
-			return &settingError{r.key, fmt.Errorf("is %v, wants %v to %v", r.value, r.min, r.max)}
+			return &settingError{r.key, fmt.Errorf("is %v, must be %v to %v", r.value, r.min, r.max)}
 		}
 	}
 	if err := o.validateReplication(); err != nil {
@@ -75,11 +75,11 @@
 	r := &o.Replication
 	switch {
 	case r.WriteQuorum != QuorumSelf && r.WriteQuorum != QuorumMajority:
-		return &settingError{"keep", fmt.Errorf("is %q, wants \"here\" or \"majority\"", r.WriteQuorum)}
+		return &settingError{"keep", fmt.Errorf("is %q, must be \"here\" or \"majority\"", r.WriteQuorum)}
 	case r.Enabled && !o.Enabled:
-		return &settingError{"[replica]", errors.New("is on, which wants the view: on = true")}
+		return &settingError{"[replica]", errors.New("is on, which requires on = true at the top level")}
 	case r.Enabled && o.MaxDatagramBytes < peer.MaxDatagramBytes:
-		return &settingError{"datagram", fmt.Errorf("is %d, the replicated state wants %d at least",
+		return &settingError{"datagram", fmt.Errorf("is %d, replication requires at least %d",
 			o.MaxDatagramBytes, peer.MaxDatagramBytes)}
 	default:
 		return nil
@@ -95,7 +95,7 @@
 		return &settingError{"state_dir", err}
 	}
 	if !info.IsDir() {
-		return &settingError{"state_dir", errors.New("is no folder")}
+		return &settingError{"state_dir", errors.New("is not a directory")}
 	}
 	return nil
 }
@@ -105,15 +105,15 @@
 	for _, seed := range o.Seeds {
 		addr, err := netip.ParseAddrPort(seed)
 		if err != nil || addr.Port() == 0 {
-			return &settingError{"seeds", fmt.Errorf("has %q, wants addresses like 10.0.0.4:7946", seed)}
+			return &settingError{"seeds", fmt.Errorf("contains %q, must be addresses like 10.0.0.4:7946", seed)}
 		}
 		o.seeds = append(o.seeds, addr)
 	}
 	return nil
 }
 
-// lineOf returns the line on which a key or a table is set; the last line if it is
-// not found. The parser only reports the lines of syntax errors.
+// lineOf returns the line on which a key or a table is set, or the last line if it is not
+// found. It is needed because the parser reports lines only for syntax errors.
 func lineOf(text []byte, key string) int {
 	line := 0
 	for content := range strings.SplitSeq(string(text), "\n") {
