--- a/internal/store/async.go
+++ b/internal/store/async.go
@@ -1,10 +1,10 @@
 package store
 
-// PutAsync stores a value in the background, so that an event loop does not wait
-// for a disk. A nil value deletes the key. While values come faster than the disk
-// takes them, the latest of each key replaces the earlier ones. The callback, which
-// may be nil, is called in the background once the value or a later one is on the
-// disk, and not at all if it cannot be stored, which is reported.
+// PutAsync stores a value in the background, so that an event loop does not wait for the
+// disk. A nil value deletes the key. If values arrive faster than the disk can write them,
+// the latest value of each key replaces the earlier values. The callback, which may be nil,
+// is called in the background once the value or a later value of the key is on disk. If the
+// value cannot be stored, the error is reported and the callback is not called.
 func (s *Store) PutAsync(key string, value []byte, callback func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,7 +36,8 @@
 	}
 }
 
-// takeQueue empties the queue. If it is empty already, the writer must end.
+// takeQueue removes and returns the queued values and callbacks. If there are no values, the
+// writer must end.
 func (s *Store) takeQueue() (values map[string][]byte, callbacks []func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/async_test.go
+++ b/internal/store/async_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestPutAsync checks that the last of many values of a key is stored, that all
-// callbacks are called, and that a nil value deletes the key.
+// TestPutAsync checks that the last of many values of a key is stored, that all callbacks
+// are called, and that a nil value deletes the key.
 func TestPutAsync(t *testing.T) {
 	const values = 100
 	s := openTest(t, t.TempDir())
@@ -33,7 +33,7 @@
 		t.Error(err)
 	}
 	if value, err := s.Get("deleted"); value != nil || err != nil {
-		t.Errorf("a deleted key: %v, %v", value, err)
+		t.Errorf("a deleted key has value %v, %v", value, err)
 	}
 	if err := s.createOrVerify(); err != nil {
 		t.Error(err)
@@ -42,9 +42,9 @@
 		t.Errorf("%d of %d callbacks were called", n, values)
 	}
 	if all, err := s.All("k"); len(all) != 1 || all[""][0] != values-1 || err != nil {
-		t.Errorf("%v, %v", all, err)
+		t.Errorf("all values %v, %v, want only the last one", all, err)
 	}
 	if value, err := s.Get("k"); len(value) != 1 || value[0] != values-1 || err != nil {
-		t.Errorf("%v, %v", value, err)
+		t.Errorf("value %v, %v, want the last one", value, err)
 	}
 }
--- a/internal/store/checksum.go
+++ b/internal/store/checksum.go
@@ -15,12 +15,12 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// addChecksum returns a value with its checksum in front.
+// addChecksum returns a record, which consists of the checksum of a value and the value.
 func addChecksum(value []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(value, castagnoli)), value...)
 }
 
-// stripChecksum returns the value in a record, or false if its checksum does not match.
+// stripChecksum returns the value in a record, or false if the checksum does not match.
 func stripChecksum(record []byte) (value []byte, ok bool) {
 	if len(record) < checksumBytes {
 		return nil, false
@@ -32,18 +32,19 @@
 	return value, true
 }
 
-// entryDigest returns an entry's part in the digest over all entries. The digest
-// guards against damage that loses or gains entries which are valid in themselves:
-// pages that point elsewhere, or a changed key.
+// entryDigest returns the contribution of an entry to the content digest, which is the XOR
+// of the contributions of all entries. The content digest detects damage that removes or
+// adds entries whose records are valid: pages with wrong references, or a changed key.
 func entryDigest(key, record []byte) uint64 {
-	digest := fnv.New64a() // its Write never fails
+	digest := fnv.New64a() // Write never returns an error
 	_, _ = digest.Write(binary.BigEndian.AppendUint32(nil, uint32(len(key))))
 	_, _ = digest.Write(key)
 	_, _ = digest.Write(record)
 	return digest.Sum64()
 }
 
-// storedDigest returns the part in the digest of what is stored under a key.
+// storedDigest returns the contribution of the entry that is stored under a key to the
+// content digest, or 0 if there is no entry.
 func storedDigest(values *bbolt.Bucket, key []byte) uint64 {
 	record := values.Get(key)
 	if record == nil {
@@ -52,7 +53,7 @@
 	return entryDigest(key, record)
 }
 
-// readContentDigest returns the digest over all entries as it is stored.
+// readContentDigest returns the stored content digest.
 func readContentDigest(tx *bbolt.Tx) (uint64, error) {
 	encoded, ok := stripChecksum(tx.Bucket(metaBucket).Get(contentDigestKey))
 	if !ok || len(encoded) != contentDigestBytes {
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -17,8 +17,8 @@
 
 const compatOwner = "front-0"
 
-// compatDir returns a directory with the golden file of the previous version, as an
-// installation has it when it is upgraded.
+// compatDir returns a directory with the golden file of the previous version, as it exists
+// when a front end is upgraded.
 func compatDir(t *testing.T) string {
 	t.Helper()
 	golden, err := os.ReadFile(filepath.Join("testdata", "compat", "dewhill.db"))
@@ -32,18 +32,18 @@
 	return dir
 }
 
-// openCompat opens a directory, of which nothing may be lost.
+// openCompat opens the store in a directory. No warning may be reported.
 func openCompat(t *testing.T, dir string) *Store {
 	t.Helper()
 	s, warning, err := Open(dir, compatOwner, func(line string) { t.Error(line) })
 	if err != nil || warning != "" {
-		t.Fatalf("%q, %v", warning, err)
+		t.Fatalf("warning %q, error %v", warning, err)
 	}
 	return s
 }
 
-// dump returns all buckets, keys and values of the file in a directory, with their
-// checksums, in the form of the golden file.
+// dump returns all buckets, keys and records of the file in a directory, in the format of
+// the golden dump.
 func dump(t *testing.T, dir string) string {
 	t.Helper()
 	db, err := bbolt.Open(filepath.Join(dir, "dewhill.db"), 0o600, &bbolt.Options{ReadOnly: true})
@@ -66,7 +66,7 @@
 	return text.String()
 }
 
-// goldenDump returns the golden form of the file.
+// goldenDump returns the expected dump of the golden file.
 func goldenDump(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "compat", "pairs.txt"))
@@ -76,7 +76,7 @@
 	return string(text)
 }
 
-// TestCompatRead checks that a front end that is upgraded reads what the previous
+// TestCompatRead checks that an upgraded front end reads the values that the previous
 // version has stored.
 func TestCompatRead(t *testing.T) {
 	dir := compatDir(t)
@@ -90,13 +90,13 @@
 			t.Errorf("%s is %x, %v, golden %x", key, got, err, value)
 		}
 	}
-	for prefix, names := range map[string][]string{ // as replication and leases read them
+	for prefix, names := range map[string][]string{ // the prefixes that replication and leases read
 		"word/":  {"e/engine-1.example:8080", "f/front-2"},
 		"loads/": {"claim/000102030405060708090a0b0c0d0e0f", "claim/fffefdfcfbfaf9f8f7f6f5f4f3f2f1f0", "voter"},
 	} {
 		all, err := s.All(prefix)
 		if got := slices.Sorted(maps.Keys(all)); err != nil || !slices.Equal(got, names) {
-			t.Errorf("under %s are %q, %v", prefix, got, err)
+			t.Errorf("keys under %s: %q, %v, want %q", prefix, got, err, names)
 		}
 		for name, value := range all {
 			if !bytes.Equal(value, want[prefix+name]) {
@@ -106,9 +106,8 @@
 	}
 }
 
-// TestCompatWritten checks that a new file has the buckets, keys, values and
-// checksums of the golden one, so that the previous version reads it when an
-// upgrade is rolled back.
+// TestCompatWritten checks that a new file has the buckets, keys, values and checksums of
+// the golden file, so that the previous version can read it after an upgrade is rolled back.
 func TestCompatWritten(t *testing.T) {
 	dir := t.TempDir()
 	s := openCompat(t, dir)
@@ -122,8 +121,8 @@
 	}
 }
 
-// TestCompatChanged checks that a golden file that is changed, and changed back,
-// has the same content.
+// TestCompatChanged checks that the golden file has the same content after values are
+// changed and changed back.
 func TestCompatChanged(t *testing.T) {
 	dir := compatDir(t)
 	s := openCompat(t, dir)
@@ -133,7 +132,7 @@
 	}
 	openCompat(t, dir)
 	if got := dump(t, dir); got == goldenDump(t) {
-		t.Error("nothing has changed")
+		t.Error("the file has not changed")
 	}
 	if err := s.putAll(map[string][]byte{"incarnation": values["incarnation"], "loads/voter": values["loads/voter"], "another": nil}); err != nil {
 		t.Fatal(err)
--- a/internal/store/corruption_test.go
+++ b/internal/store/corruption_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestCorruptFiles checks a file with changed bytes, one that is truncated, and
-// one of another program: Open either finds what was stored, or moves the file
-// aside with a warning of one line. It never fails, and afterwards the store works.
+// TestCorruptFiles opens a file with changed bytes, a truncated file, and a file of another
+// program. Open either finds the stored values, or renames the file and returns a warning
+// of one line. It never returns an error, and the store works afterwards.
 func TestCorruptFiles(t *testing.T) {
 	intact, root := testFile(t), t.TempDir()
 	rapid.Check(t, func(t *rapid.T) {
@@ -29,26 +29,26 @@
 			t.Fatal(err)
 		}
 		if strings.Contains(warning, "\n") {
-			t.Fatalf("more than a line: %q", warning)
+			t.Fatalf("the warning has more than one line: %q", warning)
 		}
 		for _, key := range testKeys {
 			value, err := s.Get(key)
-			// A changed header may show the state before the last Put.
+			// A file with a changed header may show the state before the last Put.
 			mayBeAbsent := warning != "" || headerChanged && key == "incarnation"
 			if err != nil || value != nil && string(value) != testValue(key) || value == nil && !mayBeAbsent {
-				t.Fatalf("%s is %q, %v; warning %q", key, value, err, warning)
+				t.Fatalf("key %s has value %q, %v; warning %q", key, value, err, warning)
 			}
 		}
 		if err := s.Put("a", []byte("new")); err != nil {
 			t.Fatal(err)
 		}
 		if value, err := s.Get("a"); string(value) != "new" || err != nil {
-			t.Fatalf("%q, %v", value, err)
+			t.Fatalf("value %q, %v after a Put, want \"new\"", value, err)
 		}
 	})
 }
 
-// drawCorruption draws a corrupted copy of a file, and reports whether its header
+// drawCorruption draws a corrupted copy of a file, and reports whether bytes of its header
 // pages were changed.
 func drawCorruption(t *rapid.T, intact []byte) (corrupt []byte, headerChanged bool) {
 	corrupt = append([]byte{}, intact...)
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestKilledWhileCreating checks that a process that is killed while it creates
-// its file leaves a part under another name only: the next process starts anew,
-// and nothing counts as lost.
+// TestKilledWhileCreating checks that a partial file, which a process leaves under another
+// name if it is killed while it creates the store, is not reported as a corrupt store: the
+// next process removes it and creates the file again.
 func TestKilledWhileCreating(t *testing.T) {
 	dir := t.TempDir()
 	partial := filepath.Join(dir, fileName+".new")
@@ -79,7 +79,7 @@
 	}
 	s := openTest(t, dir)
 	if _, err := os.Stat(partial); !os.IsNotExist(err) {
-		t.Errorf("the partial file stays: %v", err)
+		t.Errorf("the partial file has not been removed: %v", err)
 	}
 	if _, err := s.Get("a"); err != nil {
 		t.Error(err)
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-var kills = flag.Int("kills", 40, "writers that are killed at a random point")
+var kills = flag.Int("kills", 40, "number of writers that are killed at a random point")
 
-// writerDirVariable is the environment variable that has the test program run as a
-// writer in a directory.
+// writerDirVariable is the environment variable that makes the test program run as a writer
+// in the directory that the variable contains.
 const writerDirVariable = "STORE_TEST_WRITER"
 
-// TestMain runs the writer where a test has started this program as one.
+// TestMain runs the writer if a test has started this program as a writer.
 func TestMain(m *testing.M) {
 	dir := os.Getenv(writerDirVariable)
 	if dir == "" {
@@ -31,8 +31,8 @@
 	}
 }
 
-// runWriter puts increasing numbers under two keys, and prints each once it is
-// stored. It returns only with an error.
+// runWriter stores increasing numbers under two keys, and prints each number once it is
+// stored. It returns only if there is an error.
 func runWriter(dir string) error {
 	s, warning, err := Open(dir, testOwner, nil)
 	if err != nil {
@@ -61,9 +61,9 @@
 	return binary.BigEndian.Uint64(b)
 }
 
-// TestKilledWhileWriting checks that a writer that is killed at any point leaves
-// all that it was told is stored, the two values of one transaction together, and
-// a file that opens without a warning.
+// TestKilledWhileWriting kills writers at random points. It checks that every value whose
+// Put returned is stored, that the two values of a transaction are stored together, and that
+// the file opens without a warning.
 func TestKilledWhileWriting(t *testing.T) {
 	dir := t.TempDir()
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -75,13 +75,13 @@
 		a := getNumber(t, s, "a")
 		b := getNumber(t, s, "b")
 		if a != b || a < last || a > last+1 {
-			t.Fatalf("kill %d: %d and %d are stored after %d was reported", k, a, b, last)
+			t.Fatalf("kill %d: %d and %d are stored, the last printed number is %d", k, a, b, last)
 		}
 		last = a
 	}
 	t.Logf("%d kills, %d numbers stored", *kills, last)
 	if last == 0 {
-		t.Error("nothing was written")
+		t.Error("no number was stored")
 	}
 }
 
@@ -94,8 +94,8 @@
 	return decodeNumber(value)
 }
 
-// killWriter runs a writer, kills it some time after its start, or after its first
-// number, and returns the last number that it has reported.
+// killWriter runs a writer, and kills it a given time after its start or after the first
+// number that it prints. It returns the last printed number, or last if there is none.
 func killWriter(t *testing.T, dir string, last uint64, after time.Duration, fromStart bool) uint64 {
 	t.Helper()
 	executable, err := os.Executable()
@@ -114,7 +114,7 @@
 	var timer *time.Timer
 	startTimer := func() {
 		if timer == nil {
-			timer = time.AfterFunc(after, func() { _ = writer.Process.Kill() }) // it may have ended
+			timer = time.AfterFunc(after, func() { _ = writer.Process.Kill() }) // the writer may have ended already
 		}
 	}
 	if fromStart {
@@ -125,10 +125,10 @@
 		startTimer()
 		last, err = strconv.ParseUint(lines.Text(), 10, 64)
 		if err != nil {
-			t.Fatalf("the writer says %s", lines.Text())
+			t.Fatalf("the writer printed %s", lines.Text())
 		}
 	}
-	_ = writer.Wait() // it was killed
+	_ = writer.Wait() // the error reports only that the writer was killed
 	if timer != nil {
 		timer.Stop()
 	}
--- a/internal/store/database.go
+++ b/internal/store/database.go
@@ -16,7 +16,8 @@
 	fileName      = "dewhill.db"
 	fileMode      = 0o600
 	formatVersion = 1
-	// lockTimeout is how long a call waits while another process uses the file.
+	// lockTimeout limits the time for which a call waits while another process uses the
+	// file.
 	lockTimeout = 2 * time.Second
 )
 
@@ -29,20 +30,20 @@
 	contentDigestKey = []byte("sum")
 )
 
-// createOrVerify creates the file if there is none, else reads all of it. It
-// returns errCorrupt for a file that cannot be used.
+// createOrVerify creates the file if it does not exist, and otherwise verifies its whole
+// content. It returns errCorrupt for a file that cannot be used.
 func (s *Store) createOrVerify() error {
 	info, err := os.Stat(s.path)
 	if errors.Is(err, os.ErrNotExist) {
 		return s.create()
 	}
 	if err == nil && info.Size() == 0 {
-		return errCorrupt // bbolt would take it for a new one
+		return errCorrupt // bbolt would initialize it as a new file
 	}
 	return s.view(s.verify)
 }
 
-// verify checks version, owner and checksums.
+// verify checks the version, the owner and the content digest.
 func (s *Store) verify(tx *bbolt.Tx) error {
 	meta, values := tx.Bucket(metaBucket), tx.Bucket(valueBucket)
 	if meta == nil || values == nil {
@@ -77,8 +78,9 @@
 	return nil
 }
 
-// create writes an empty file under another name first. Otherwise a process that
-// is killed meanwhile would leave half a file, which would pass for a corrupt one.
+// create creates an empty store under another name and then renames the file. Otherwise a
+// process that is killed in the meantime would leave a partial file, which the next process
+// would treat as corrupt.
 func (s *Store) create() error {
 	fresh := &Store{path: s.path + ".new", owner: s.owner}
 	err := os.Remove(fresh.path)
@@ -109,8 +111,8 @@
 	return writeContentDigest(tx, 0)
 }
 
-// replace moves a file that cannot be used aside and creates an empty one. The
-// warning says so in one line.
+// replace renames a file that cannot be used and creates an empty store. It returns a
+// warning of one line about this.
 func (s *Store) replace(reason error) (warning string, err error) {
 	aside := fmt.Sprintf("%s.bad-%d", s.path, time.Now().UnixNano())
 	if err := os.Rename(s.path, aside); err != nil {
@@ -125,14 +127,14 @@
 	return s.withDatabase(func(db *bbolt.DB) error { return db.View(do) })
 }
 
-// update runs a transaction, which is on the disk once update returns without
-// error.
+// update runs a read-write transaction. Once update returns without an error, the
+// transaction is on disk.
 func (s *Store) update(do func(*bbolt.Tx) error) error {
 	return s.withDatabase(func(db *bbolt.DB) error { return db.Update(do) })
 }
 
-// withDatabase calls a function with the file open. Where pages are damaged, bbolt
-// panics or reads beyond its mapping: that becomes errCorrupt too.
+// withDatabase opens the file, calls a function and closes the file. If pages are damaged,
+// bbolt panics or reads outside its mapping: withDatabase then returns errCorrupt.
 func (s *Store) withDatabase(do func(*bbolt.DB) error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -144,7 +146,7 @@
 	if err != nil {
 		return s.openError(err)
 	}
-	defer func() { _ = db.Close() }() // a committed transaction is on the disk already
+	defer func() { _ = db.Close() }() // a committed transaction is already on disk
 	return classify(do(db))
 }
 
@@ -160,14 +162,14 @@
 	}
 }
 
-// diskErrors are the errors of a disk that can't be written, or read, although the
-// file is in order.
+// diskErrors are the errors of a disk that cannot be read or written. They do not mean that
+// the file is corrupt.
 var diskErrors = []error{
 	syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EROFS, syscall.EACCES, syscall.EPERM,
 }
 
-// classify turns errors that neither this package nor the disk has caused into
-// errCorrupt: bbolt returns various ones for damaged pages.
+// classify wraps errors that come neither from this package nor from the disk in
+// errCorrupt, because bbolt returns various errors for damaged pages.
 func classify(err error) error {
 	if err == nil || errors.Is(err, errCorrupt) || errors.Is(err, ErrForeignOwner) {
 		return err
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,26 +1,26 @@
-// Package store keeps what a front end must remember over restarts, in a durable
-// key-value store: one bbolt file in a directory, where an installation has one.
+// Package store keeps the state of a front end that must survive restarts in a durable
+// key-value store: one bbolt file in a directory, if the deployment configures one.
 //
 // Guarantees:
 //
-//   - A value for which Put has returned without error, or whose PutAsync callback
-//     was called, outlasts any end of the process. After a crash a value is the
-//     last one that was put, or an earlier one if Put had not returned: never a
-//     mixture. Damage to the file's own header, which a crash does not cause, may
+//   - A value for which Put has returned without an error, or whose PutAsync callback was
+//     called, survives any termination of the process. After a crash, the value of a key is
+//     the last value that was put, or an earlier value if Put had not returned, but never a
+//     mixture of values. Damage to the header of the file, which a crash does not cause, may
 //     show the state before the last Put.
-//   - A file that is corrupt, truncated or foreign is moved aside and reported in
-//     one line, and the front end continues with an empty store, as one without a
-//     disk does.
-//   - A directory that belongs to a front end of another name is rejected: two
-//     front ends with one memory would break each other's promises.
+//   - A file that is corrupt, truncated or was created by another program is renamed and
+//     reported in one line. The front end continues with an empty store, like a front end
+//     without a disk.
+//   - A directory that belongs to a front end with another name is rejected: two front ends
+//     with the same stored state would violate each other's guarantees.
 //
 // The file is open only while it is read or written, so that during an upgrade two
-// processes of one front end can both use it.
+// processes of the same front end can use it.
 //
 //   - store.go: Store and its synchronous operations
 //   - async.go: writes in the background
-//   - database.go: the file: creation, verification, replacement, access
-//   - checksum.go: checksums of values and of the whole
+//   - database.go: creation, verification, replacement and access of the file
+//   - checksum.go: checksums of values, and the digest of the content
 package store
 
 import (
@@ -34,31 +34,31 @@
 	"go.etcd.io/bbolt"
 )
 
-// ErrForeignOwner is returned for a directory of another front end.
+// ErrForeignOwner is returned for a directory that belongs to another front end.
 var ErrForeignOwner = errors.New("belongs to another front end")
 
-// errCorrupt is returned for a file that is damaged or foreign.
+// errCorrupt is returned for a file that is damaged or was created by another program.
 var errCorrupt = errors.New("corrupt, or not a file of this program")
 
-// Store is the durable memory of one front end. It is safe for concurrent use.
+// Store is the durable storage of one front end. It is safe for concurrent use.
 type Store struct {
 	path  string
 	owner string
-	// report is called from any goroutine with what is found after Open; nil: it
-	// is dropped.
+	// report is called on any goroutine with errors and warnings that occur after Open.
+	// If it is nil, they are dropped.
 	report func(string)
 
 	mu        sync.Mutex        // guards the fields below
 	queue     map[string][]byte // values for the background writer; nil: to be deleted
-	callbacks []func()          // of the queued values
-	writing   bool              // the background writer runs
+	callbacks []func()          // callbacks of the queued values
+	writing   bool              // the background writer is running
 }
 
-// Open opens the store in a directory that exists, for the front end with a name.
-// If the file in it cannot be used, Open moves it aside, starts an empty one, and
-// describes that in warning. What is found later is passed to report, which may be
-// nil, from any goroutine. The error is ErrForeignOwner, that the file is in use,
-// or of the file system.
+// Open opens the store in an existing directory for the front end with the name owner. If
+// the file in the directory cannot be used, Open renames it, creates an empty store, and
+// returns a warning. Errors and warnings that occur later are passed to report, which may be
+// nil, on any goroutine. Open returns an error if the directory belongs to another front end
+// (ErrForeignOwner), if the file is in use, or if the file system returns an error.
 func Open(dir, owner string, report func(string)) (s *Store, warning string, err error) {
 	info, err := os.Stat(dir)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return s, warning, nil
 }
 
-// Get returns a value, or nil if there is none.
+// Get returns the value of a key, or nil if there is none.
 func (s *Store) Get(key string) (value []byte, err error) {
 	err = s.view(func(tx *bbolt.Tx) error {
 		record := tx.Bucket(valueBucket).Get([]byte(key))
@@ -95,8 +95,8 @@
 	return value, err
 }
 
-// All returns the values whose keys begin with a prefix, which must not be empty,
-// by the rest of their keys.
+// All returns the values whose keys begin with a prefix, by the rest of their keys. The
+// prefix must not be empty.
 func (s *Store) All(prefix string) (values map[string][]byte, err error) {
 	values = map[string][]byte{}
 	err = s.view(func(tx *bbolt.Tx) error {
@@ -113,14 +113,14 @@
 	return values, err
 }
 
-// Put stores a value, or deletes the key if the value is nil. Once it returns
-// without error, that is on the disk.
+// Put stores a value, or deletes the key if the value is nil. Once Put returns without an
+// error, the change is on disk.
 func (s *Store) Put(key string, value []byte) error {
 	return s.putAll(map[string][]byte{key: value})
 }
 
-// putAll stores values in one transaction. Some damage shows only when pages are
-// written again: the file is replaced then too, which is reported.
+// putAll stores values in one transaction. Some damage is detected only when pages are
+// written again. In this case too, the file is replaced, and a warning is reported.
 func (s *Store) putAll(values map[string][]byte) error {
 	err := s.writeAll(values)
 	if !errors.Is(err, errCorrupt) {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -10,12 +10,12 @@
 
 const testOwner = "n0"
 
-// testKeys are the keys of a test file, each with testValue.
+// testKeys are the keys in a test file. The value of each key is testValue(key).
 var testKeys = []string{"a", "b", "incarnation"}
 
 func testValue(key string) string { return "value of " + key }
 
-// openTest opens a store in which nothing may be lost.
+// openTest opens the store in a directory. No warning may be reported.
 func openTest(t testing.TB, dir string) *Store {
 	t.Helper()
 	s, warning, err := Open(dir, testOwner, func(line string) { t.Error(line) })
@@ -25,7 +25,7 @@
 	return s
 }
 
-// testFile returns the bytes of a file that holds testKeys.
+// testFile returns the bytes of a file with testKeys and their values.
 func testFile(t *testing.T) []byte {
 	t.Helper()
 	dir := t.TempDir()
@@ -49,23 +49,23 @@
 	}
 }
 
-// TestReopen checks that what was put is there when the directory is opened again,
-// and that it opens only for its owner.
+// TestReopen checks that stored values are found when the directory is opened again, and
+// that the directory opens only for its owner.
 func TestReopen(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, dir, testFile(t))
 	s := openTest(t, dir)
 	if value, err := s.Get("b"); string(value) != testValue("b") || err != nil {
-		t.Errorf("%q, %v", value, err)
+		t.Errorf("value %q, %v, want %q", value, err, testValue("b"))
 	}
 	if value, err := s.Get("c"); value != nil || err != nil {
-		t.Errorf("an absent key: %q, %v", value, err)
+		t.Errorf("an absent key has value %q, %v", value, err)
 	}
 	if _, _, err := Open(dir, "n1", nil); !errors.Is(err, ErrForeignOwner) || !strings.Contains(err.Error(), `"n0"`) {
-		t.Errorf("a copied directory: %v", err)
+		t.Errorf("Open for another owner: error %v, want %v with the owner", err, ErrForeignOwner)
 	}
 	if _, _, err := Open(filepath.Join(dir, "none"), testOwner, nil); err == nil {
-		t.Error("an absent directory can be opened")
+		t.Error("Open succeeds for a directory that does not exist")
 	}
 }
 
