--- a/internal/replication/register.go
+++ b/internal/replication/register.go
@@ -7,7 +7,8 @@
 	"dewhill/internal/antientropy"
 )
 
-// Kind is what a Key names. Its values are part of the wire form.
+// Kind is the kind of component that a Key identifies. Its values are part of the wire
+// format.
 type Kind byte
 
 // The kinds.
@@ -28,7 +29,7 @@
 	}
 }
 
-// Key names an engine or a front end.
+// Key identifies an engine or a front end.
 type Key struct {
 	Kind Kind
 	ID   string
@@ -36,14 +37,14 @@
 
 func (k Key) hash() uint64 { return antientropy.HashString(string([]byte{byte(k.Kind)}) + k.ID) }
 
-// Dot identifies a write: its author, which is one process of one front end, and a
-// timestamp that increases with each write of that author.
+// Dot identifies a write by the process of a front end that made the write, and by a
+// timestamp that increases with each write of that process.
 type Dot struct {
-	Author    uint64
-	Timestamp uint64 // hybrid: ms since 1970 << timestampCounterBits, and a counter
+	ProcessID uint64
+	Timestamp uint64 // hybrid: ms since 1970 << timestampCounterBits, plus a counter
 }
 
-// timestampCounterBits is how many low bits of a timestamp count writes within
+// timestampCounterBits is the number of low bits of a timestamp that count writes within
 // one millisecond.
 const timestampCounterBits = 16
 
@@ -52,43 +53,44 @@
 	Dot
 	Disabled bool
 	Origin   string // the front end that accepted the write
-	Context  []Dot  // the latest write of each author that this write supersedes
+	Context  []Dot  // the latest write of each process that this write supersedes
 }
 
-// supersedes reports whether a write's author knew another write.
+// supersedes reports whether the process that made a write had received another write,
+// or had made it earlier.
 func (w *Override) supersedes(o *Override) bool {
 	for _, d := range w.Context {
-		if d.Author == o.Author {
+		if d.ProcessID == o.ProcessID {
 			return d.Timestamp >= o.Timestamp
 		}
 	}
-	return w.Author == o.Author && w.Timestamp > o.Timestamp
+	return w.ProcessID == o.ProcessID && w.Timestamp > o.Timestamp
 }
 
-// prevailsOver reports whether a write holds rather than a concurrent one.
-// "Disabled" prevails, then the later write.
+// prevailsOver reports whether a write takes precedence over a concurrent write.
+// "Disabled" takes precedence over "enabled"; between equal values, the later write does.
 func (w *Override) prevailsOver(o *Override) bool {
 	if w.Disabled != o.Disabled {
 		return w.Disabled
 	}
-	return cmp.Or(cmp.Compare(w.Timestamp, o.Timestamp), cmp.Compare(w.Author, o.Author)) > 0
+	return cmp.Or(cmp.Compare(w.Timestamp, o.Timestamp), cmp.Compare(w.ProcessID, o.ProcessID)) > 0
 }
 
-// compareByDot orders writes by author and timestamp.
+// compareByDot orders writes by process ID and timestamp.
 func compareByDot(a, b *Override) int {
-	return cmp.Or(cmp.Compare(a.Author, b.Author), cmp.Compare(a.Timestamp, b.Timestamp))
+	return cmp.Or(cmp.Compare(a.ProcessID, b.ProcessID), cmp.Compare(a.Timestamp, b.Timestamp))
 }
 
 const (
-	maxContextAuthors   = 8
+	maxContextProcesses = 8
 	maxConcurrentWrites = 8 // in a register
 )
 
-// register holds the writes for a key of which none supersedes another.
+// register is the set of writes for a key, none of which supersedes another.
 type register struct {
 	key    Key
 	hash   uint64
-	writes []*Override // by dot
+	writes []*Override // ordered by dot
 }
 
 // compareByKey orders registers by kind and ID.
@@ -96,7 +98,8 @@
 	return cmp.Or(cmp.Compare(a.key.Kind, b.key.Kind), cmp.Compare(a.key.ID, b.key.ID))
 }
 
-// merge adds a write, and reports whether the register has changed.
+// merge adds a write, unless a write in the register supersedes it, and removes the writes
+// that it supersedes. It reports whether the register has changed.
 func (r *register) merge(w *Override) (changed bool) {
 	i, found := slices.BinarySearchFunc(r.writes, w, compareByDot)
 	if found {
@@ -117,13 +120,13 @@
 	return dropped != w
 }
 
-// compareForDropping orders the writes of a full register, the first to be dropped
-// first. The order is the same in all replicas.
+// compareForDropping orders the writes of a full register. The first one is dropped. The
+// order is the same in all replicas.
 func compareForDropping(a, b *Override) int {
 	return cmp.Or(
 		compareBool(a.Disabled, b.Disabled),
 		cmp.Compare(a.Timestamp, b.Timestamp),
-		cmp.Compare(a.Author, b.Author),
+		cmp.Compare(a.ProcessID, b.ProcessID),
 	)
 }
 
@@ -139,8 +142,8 @@
 	}
 }
 
-// resolve returns the write that holds, nil if there is none, and the writes that
-// differ from it.
+// resolve returns the write that is in effect, or nil if there is none, and the writes
+// whose value differs from it.
 func (r *register) resolve() (current *Override, conflicts []*Override) {
 	for _, w := range r.writes {
 		if current == nil || w.prevailsOver(current) {
@@ -155,32 +158,32 @@
 	return current, conflicts
 }
 
-// next returns a write that supersedes all that the register holds.
-func (r *register) next(dot Dot, disabled bool, origin string) *Override {
-	latest := map[uint64]uint64{} // timestamp by author
+// newWrite returns a write that supersedes all writes in the register.
+func (r *register) newWrite(dot Dot, disabled bool, origin string) *Override {
+	latest := map[uint64]uint64{} // timestamp by process ID
 	for _, w := range r.writes {
-		latest[w.Author] = max(latest[w.Author], w.Timestamp)
+		latest[w.ProcessID] = max(latest[w.ProcessID], w.Timestamp)
 		for _, d := range w.Context {
-			latest[d.Author] = max(latest[d.Author], d.Timestamp)
+			latest[d.ProcessID] = max(latest[d.ProcessID], d.Timestamp)
 		}
 	}
-	delete(latest, dot.Author) // its later timestamp says so
+	delete(latest, dot.ProcessID) // its earlier writes are superseded by the later timestamp
 	w := &Override{Dot: dot, Disabled: disabled, Origin: origin}
-	for author, timestamp := range latest {
-		w.Context = append(w.Context, Dot{Author: author, Timestamp: timestamp})
+	for processID, timestamp := range latest {
+		w.Context = append(w.Context, Dot{ProcessID: processID, Timestamp: timestamp})
 	}
 	slices.SortFunc(w.Context, func(a, b Dot) int {
-		return cmp.Or(cmp.Compare(b.Timestamp, a.Timestamp), cmp.Compare(a.Author, b.Author))
+		return cmp.Or(cmp.Compare(b.Timestamp, a.Timestamp), cmp.Compare(a.ProcessID, b.ProcessID))
 	})
-	w.Context = w.Context[:min(len(w.Context), maxContextAuthors)]
+	w.Context = w.Context[:min(len(w.Context), maxContextProcesses)]
 	return w
 }
 
-// Sum returns the register's part in digests; 0: nothing was written.
+// Sum returns the register's contribution to digests, which is 0 if it has no writes.
 func (r *register) Sum() uint64 {
 	var sum uint64
 	for _, w := range r.writes {
-		sum ^= antientropy.Mix(antientropy.Mix(w.Author) + w.Timestamp)
+		sum ^= antientropy.Mix(antientropy.Mix(w.ProcessID) + w.Timestamp)
 	}
 	if sum == 0 {
 		return 0
