--- a/internal/server/admin_program_test.go
+++ b/internal/server/admin_program_test.go
@@ -26,8 +26,8 @@
 // away from the engine that is preferred for a group's loads.
 func selectFromGroup(k int) string { return fmt.Sprintf("SELECT a FROM sales_%d.orders", k) }
 
-// expectCall makes an operator's call and fails the test on another status.
-func expectCall(t *testing.T, operators, method, path string, want int) {
+// expectCallStatus makes an operator's call and fails the test on another status.
+func expectCallStatus(t *testing.T, operators, method, path string, want int) {
 	t.Helper()
 	if status, _ := callOperatorAPI(operators, method, path); status != want {
 		t.Errorf("%s %s: status %d, want %d", method, path, status, want)
@@ -40,11 +40,11 @@
 	e := fakes.NewScriptedEngine(t, "s-1", func(c fakes.Command) string {
 		switch c.Statement {
 		case "error":
-			return answerError(c)
+			return replyError(c)
 		case "full":
-			return answerFull(c)
+			return replyFull(c)
 		default:
-			return answerOneRow(c)
+			return replyOneRow(c)
 		}
 	})
 	f, operators := startWithAdminAPI(t, e)
@@ -79,7 +79,7 @@
 // is refused, and so is what is no call. Operators who stay connected and don't call
 // are in nobody's way.
 func TestEngineOverride(t *testing.T) {
-	a, b := fakes.NewScriptedEngine(t, "s-1", answerOneRow), fakes.NewScriptedEngine(t, "s-2", answerOneRow)
+	a, b := fakes.NewScriptedEngine(t, "s-1", replyOneRow), fakes.NewScriptedEngine(t, "s-2", replyOneRow)
 	f, operators := startWithAdminAPI(t, a, b)
 	for range 40 {
 		c, err := net.Dial("tcp", operators)
@@ -99,7 +99,7 @@
 		"POST engines/s-1/offline": 200,
 	} {
 		method, path, _ := strings.Cut(call, " ")
-		expectCall(t, operators, method, path, want)
+		expectCallStatus(t, operators, method, path, want)
 	}
 	c := f.connect()
 	for k := range 20 {
@@ -116,7 +116,7 @@
 		callOperatorAPI(operators, "POST", "engines/s-1/offline")
 	}
 	callOperatorAPI(operators, "POST", "engines/s-2/offline")
-	expectCall(t, operators, "POST", "engines/s-1/online", 200)
+	expectCallStatus(t, operators, "POST", "engines/s-1/online", 200)
 	c.send(lookupMessage(30, "x")).expectStatus(200)
 	if len(a.Attempts()) != 1 {
 		t.Errorf("%d requests at the engine that is enabled again", len(a.Attempts()))
@@ -127,20 +127,20 @@
 // and ends others with their response. Back in service, it takes clients again.
 func TestOutOfService(t *testing.T) {
 	g := newGate()
-	e := fakes.NewScriptedEngine(t, "s-1", g.answer)
+	e := fakes.NewScriptedEngine(t, "s-1", g.reply)
 	f, operators := startWithAdminAPI(t, e)
 	idle, busy := f.connect(), f.connect()
 	idle.roundTrip(loadMessage(1, "x"))
 	busy.send(loadMessage(2, "slow"))
 	waitForRequests(t, 2, e)
-	expectCall(t, operators, "POST", "out-of-service", 200)
+	expectCallStatus(t, operators, "POST", "out-of-service", 200)
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v", err)
 	}
 	if status, header, _ := f.connect().roundTrip(healthCheck); status != 503 || header.Get("Connection") != "close" {
 		t.Errorf("healthy: status %d, %v", status, header)
 	}
-	expectCall(t, operators, "GET", "ready", 503)
+	expectCallStatus(t, operators, "GET", "ready", 503)
 	g.open()
 	connected := f.connect()
 	connected.send(loadMessage(3, "x"))
@@ -159,15 +159,15 @@
 	}
 }
 
-// lookups are sent one after another, each on a connection of its own.
-type lookups struct {
+// lookupGenerator sends lookups one after another, each on a connection of its own.
+type lookupGenerator struct {
 	sent, failed  atomic.Int32
 	done, stopped chan struct{}
 }
 
-// startLookups sends lookups to a front end until they are stopped.
-func startLookups(f *frontEndProcess) *lookups {
-	l := &lookups{done: make(chan struct{}), stopped: make(chan struct{})}
+// startLookupGenerator sends lookups to a front end until they are stopped.
+func startLookupGenerator(f *frontEndProcess) *lookupGenerator {
+	l := &lookupGenerator{done: make(chan struct{}), stopped: make(chan struct{})}
 	go func() {
 		defer close(l.stopped)
 		for k := 100; ; k++ {
@@ -188,7 +188,7 @@
 }
 
 // stop waits for the last lookup.
-func (l *lookups) stop() {
+func (l *lookupGenerator) stop() {
 	close(l.done)
 	<-l.stopped
 }
@@ -197,8 +197,8 @@
 // it has: no connection is rejected, and engines that are disabled stay so.
 func TestUpgrade(t *testing.T) {
 	g := newGate()
-	disabled := fakes.NewScriptedEngine(t, "s-1", g.answer)
-	e2, e3 := fakes.NewScriptedEngine(t, "s-2", g.answer), fakes.NewScriptedEngine(t, "s-3", g.answer)
+	disabled := fakes.NewScriptedEngine(t, "s-1", g.reply)
+	e2, e3 := fakes.NewScriptedEngine(t, "s-2", g.reply), fakes.NewScriptedEngine(t, "s-3", g.reply)
 	f, operators := startWithAdminAPI(t, disabled, e2, e3)
 	callOperatorAPI(operators, "POST", "engines/s-1/offline")
 	slow, idle := f.connect(), f.connect()
@@ -206,7 +206,7 @@
 	slow.send(loadMessage(2, "slow"))
 	waitForRequests(t, 2, e2, e3)
 
-	load := startLookups(f)
+	generator := startLookupGenerator(f)
 	nextOperators := testprocess.FreeAddr(t)
 	next := f.startProcess(nextOperators)
 	testprocess.Until(t, "the next process to be ready", func() bool {
@@ -218,21 +218,21 @@
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection of the previous process: %v", err)
 	}
-	before := load.sent.Load()
-	testprocess.Until(t, "requests after the handover", func() bool { return load.sent.Load() > before+50 })
+	before := generator.sent.Load()
+	testprocess.Until(t, "requests after the handover", func() bool { return generator.sent.Load() > before+50 })
 	g.open()
 	if status, header, _ := slow.readResponse(); status != 200 || header.Get("Connection") != "close" {
 		t.Errorf("in flight at the previous process: status %d, %v", status, header)
 	}
 	f.waitForExit()
-	load.stop()
-	if load.failed.Load() > 0 {
-		t.Errorf("%d of %d requests were not served", load.failed.Load(), load.sent.Load())
+	generator.stop()
+	if generator.failed.Load() > 0 {
+		t.Errorf("%d of %d requests were not served", generator.failed.Load(), generator.sent.Load())
 	}
 	if len(disabled.Attempts()) != 0 {
 		t.Errorf("%d requests at the engine that is disabled", len(disabled.Attempts()))
 	}
-	expectCall(t, nextOperators, "POST", "engines/s-1/online", 200)
+	expectCallStatus(t, nextOperators, "POST", "engines/s-1/online", 200)
 	for k := 0; len(disabled.Attempts()) == 0; k++ {
 		c := f.connect()
 		c.roundTrip(lookupMessage(1<<20+k, selectFromGroup(k)))
--- a/internal/server/cluster_program_test.go
+++ b/internal/server/cluster_program_test.go
@@ -16,8 +16,8 @@
 // and those of a kind, which are the cluster's.
 type datagramCounts struct{ gossip, cluster int }
 
-// firstKind is the smallest first byte of a datagram that has a kind.
-const firstKind = 0x80
+// minKindByte is the smallest first byte of a datagram that has a kind.
+const minKindByte = 0x80
 
 // maxGossipBytes is the longest datagram that a front end without a cluster sends.
 const maxGossipBytes = 256
@@ -33,7 +33,7 @@
 	if n > maxGossipBytes {
 		t.Errorf("a datagram of %d bytes", n)
 	}
-	if buffer[0] < firstKind {
+	if buffer[0] < minKindByte {
 		d.gossip++
 	} else {
 		d.cluster++
@@ -51,14 +51,14 @@
 	withoutFile := checkCluster(t, "", false)
 	withShippedFile := checkCluster(t, "../../deploy/group.toml", false)
 	if withoutFile != withShippedFile {
-		t.Errorf("answers without a file:\n%s\nwith the one that is shipped:\n%s", withoutFile, withShippedFile)
+		t.Errorf("responses without a file:\n%s\nwith the one that is shipped:\n%s", withoutFile, withShippedFile)
 	}
 	checkCluster(t, turnedOn, true)
 }
 
 // checkCluster starts a front end with a cluster file, none where it is empty, and
-// checks its datagrams, answers and counters. It returns the answers.
-func checkCluster(t *testing.T, file string, on bool) (answers string) {
+// checks its datagrams, responses and counters. It returns the responses.
+func checkCluster(t *testing.T, file string, on bool) (responses string) {
 	t.Helper()
 	peer, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -74,7 +74,7 @@
 			t.Fatal("no gossip comes")
 		}
 	}
-	answers = operatorAnswers(t, operators, on) + clientAnswers(f)
+	responses = operatorResponses(t, operators, on) + clientResponses(f)
 
 	counters := f.process.Stop()
 	if (counters["group"] != nil) != on {
@@ -91,14 +91,14 @@
 		t.Errorf("%q: %d datagrams of the cluster beside %d of gossip, of which %v were sent",
 			file, datagrams.cluster, datagrams.gossip, frontEnd["Told"])
 	}
-	return answers
+	return responses
 }
 
 // startWithPeer starts a front end with a cluster file, none where it is empty, and
 // one peer at an address.
 func startWithPeer(t *testing.T, peer, file string) (f *frontEndProcess, operators string) {
 	t.Helper()
-	f = startFleetMember(t, 0, 2, "", 256, fakes.NewScriptedEngine(t, "s-1", answerOneRow))
+	f = startFleetMember(t, 0, 2, "", 256, fakes.NewScriptedEngine(t, "s-1", replyOneRow))
 	f.process.Stop()
 	f.changeConfig(`"127.0.0.1:2"`, strconv.Quote(peer))
 	operators = testprocess.FreeAddr(t)
@@ -117,11 +117,11 @@
 	}
 }
 
-// operatorAnswers lists the answers to operators' calls, and checks those for the
+// operatorResponses lists the responses to operators' calls, and checks those for the
 // cluster's paths.
-func operatorAnswers(t *testing.T, operators string, clusterOn bool) string {
+func operatorResponses(t *testing.T, operators string, clusterOn bool) string {
 	t.Helper()
-	var answers strings.Builder
+	var responses strings.Builder
 	for _, call := range []string{
 		"GET fleet", "POST fleet", "GET state", "POST state", "GET nothing", "POST nothing", "GET ready", "POST ready",
 		"POST engines/s-9/offline",
@@ -134,20 +134,20 @@
 		if path == "fleet" && method == "GET" && clusterOn && status != 200 {
 			t.Errorf("turned on, %s: status %d", call, status)
 		}
-		fmt.Fprintf(&answers, "%s: %d %s\n", call, status, body)
+		fmt.Fprintf(&responses, "%s: %d %s\n", call, status, body)
 	}
-	return answers.String()
+	return responses.String()
 }
 
-// clientAnswers lists the responses to clients' requests.
-func clientAnswers(f *frontEndProcess) string {
+// clientResponses lists the responses to clients' requests.
+func clientResponses(f *frontEndProcess) string {
 	f.t.Helper()
-	var answers strings.Builder
+	var responses strings.Builder
 	c := f.connect()
 	for k := range 3 {
 		status, header, body := c.roundTrip(requestMessage("lookup", requestID(k), "", "SELECT 1"))
 		header.Del("Date")
-		fmt.Fprintln(&answers, status, header, body)
+		fmt.Fprintln(&responses, status, header, body)
 	}
-	return answers.String()
+	return responses.String()
 }
--- a/internal/server/compat_config_test.go
+++ b/internal/server/compat_config_test.go
@@ -142,18 +142,18 @@
 // checkControl checks what the words of the golden configuration stand for.
 func checkControl(t *testing.T, s *simproto.Settings) {
 	t.Helper()
-	taken, err := s.Control()
+	converted, err := s.Control()
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectEqual(t, "pure", taken.Classes[0].Idempotency, control.Idempotent)
-	expectEqual(t, "token", taken.Classes[1].Idempotency, control.IdempotentWithKey)
-	expectEqual(t, "side_effect", taken.Classes[2].Idempotency, control.NotIdempotent)
-	expectEqual(t, "all", taken.Classes[0].IdempotencyScope, control.AllEngines)
-	expectEqual(t, "zone", taken.Classes[1].IdempotencyScope, control.SameZone)
-	expectEqual(t, "cell", taken.Classes[2].IdempotencyScope, control.SameCell)
-	expectEqual(t, "ask", taken.PollsEndpointList, true)
-	expectEqual(t, "answers", taken.LoadReportsInAnswers && taken.LoadReportsInProbes, true)
+	expectEqual(t, "pure", converted.Classes[0].Idempotency, control.Idempotent)
+	expectEqual(t, "token", converted.Classes[1].Idempotency, control.IdempotentWithKey)
+	expectEqual(t, "side_effect", converted.Classes[2].Idempotency, control.NotIdempotent)
+	expectEqual(t, "all", converted.Classes[0].IdempotencyScope, control.AllEngines)
+	expectEqual(t, "zone", converted.Classes[1].IdempotencyScope, control.SameZone)
+	expectEqual(t, "cell", converted.Classes[2].IdempotencyScope, control.SameCell)
+	expectEqual(t, "ask", converted.PollsEndpointList, true)
+	expectEqual(t, "answers", converted.LoadReportsInAnswers && converted.LoadReportsInProbes, true)
 }
 
 // checkNoneZero reports fields of the golden configuration that were not read.
--- a/internal/server/compat_counters_test.go
+++ b/internal/server/compat_counters_test.go
@@ -16,7 +16,7 @@
 // Operators and their tools read the counters that are printed on SIGUSR1 and at
 // the end, and that GET /-/counters answers.
 func TestCompatReport(t *testing.T) {
-	f := newCountingFrontEnd(t)
+	f := newFrontEndWithDistinctCounters(t)
 	text := f.loop.CountersJSON()
 	checkKeyPaths(t, "report-paths.txt", text)
 	var all map[string]any
@@ -35,9 +35,9 @@
 
 // The keys of reports are in alphabetical order: operators compare reports as text.
 func TestCompatKeyOrder(t *testing.T) {
-	f := newCountingFrontEnd(t)
+	f := newFrontEndWithDistinctCounters(t)
 	checkKeyOrder(t, f.loop.CountersJSON())
-	checkKeyOrder(t, runPosted(f, f.admin.CountersJSON))
+	checkKeyOrder(t, runUrgentCall(f, f.admin.CountersJSON))
 	checkKeyOrder(t, newCompatMySQLService(t).loop.CountersJSON())
 }
 
@@ -60,7 +60,7 @@
 // Without a cluster, and without an unexpected datagram, the report has no key for
 // either.
 func TestCompatReportWithoutCluster(t *testing.T) {
-	f := newCountingFrontEnd(t)
+	f := newFrontEndWithDistinctCounters(t)
 	f.cluster = nil
 	f.counters.UnexpectedDatagrams = 0
 	checkKeyPaths(t, "report-alone-paths.txt", f.loop.CountersJSON())
@@ -90,27 +90,27 @@
 // Operators' tools read what GET /control/counters answers: internal/adminapi's tests
 // have the calls, docs/on-call.md the names.
 func TestCompatOperatorCounters(t *testing.T) {
-	f := newCountingFrontEnd(t)
+	f := newFrontEndWithDistinctCounters(t)
 	f.counters.Reloads = 31
 	f.counters.FailedReloads = 32
 	f.httpServer.Counters.Classes[0].Served = 33
 	f.httpServer.Counters.Classes[0].Rejected = 34
 	f.httpServer.Counters.Classes[0].Failed = 35
 	f.applyUpdates(&f.cfg.InitialUpdates) // one engine that is active, one draining and one removed
-	text := runPosted(f, f.admin.CountersJSON)
+	text := runUrgentCall(f, f.admin.CountersJSON)
 	checkValues(t, "control-counters.json", text)
 }
 
 // Operators' tools read what GET /control/fleet and /control/state answer.
 func TestCompatOperatorViews(t *testing.T) {
-	f := newCountingFrontEnd(t)
-	checkKeyPaths(t, "control-fleet-paths.txt", runPosted(f, f.admin.FleetJSON))
-	checkKeyPaths(t, "control-state-paths.txt", runPosted(f, f.admin.StateJSON))
+	f := newFrontEndWithDistinctCounters(t)
+	checkKeyPaths(t, "control-fleet-paths.txt", runUrgentCall(f, f.admin.FleetJSON))
+	checkKeyPaths(t, "control-state-paths.txt", runUrgentCall(f, f.admin.StateJSON))
 }
 
-// newCountingFrontEnd is a front end with everything turned on, one open request, and
+// newFrontEndWithDistinctCounters is a front end with everything turned on, one open request, and
 // counters that each have a value of their own.
-func newCountingFrontEnd(t *testing.T) *platformFrontEnd {
+func newFrontEndWithDistinctCounters(t *testing.T) *platformFrontEnd {
 	t.Helper()
 	t.Setenv("TMPDIR", t.TempDir())
 	cfg, err := ReadConfig(filepath.Join("testdata", "compat", "config.json"))
@@ -135,9 +135,9 @@
 		_ = f.admin.listener.Close()
 		_ = f.peers.Close()
 	})
-	later := f.loop.Now() + 60000 // so that the request is in no hurry, however slow the machine is
-	open := dispatch.Request{ID: "9b1f03aa5c7e2d41", ArrivedAtMS: later, DeadlineAtMS: later + 60000}
-	if err := f.loop.Submit(open, dispatch.Query{Statement: []byte("x")}, func(dispatch.Answer, any) {}); err != nil {
+	arrivedAtMS := f.loop.Now() + 60000 // so that the request is in no hurry, however slow the machine is
+	openRequest := dispatch.Request{ID: "9b1f03aa5c7e2d41", ArrivedAtMS: arrivedAtMS, DeadlineAtMS: arrivedAtMS + 60000}
+	if err := f.loop.Submit(openRequest, dispatch.Query{Statement: []byte("x")}, func(dispatch.Answer, any) {}); err != nil {
 		t.Fatal(err)
 	}
 	next := 0
@@ -183,8 +183,8 @@
 	}
 }
 
-// runPosted carries out what waits for the loop, which does not run in these tests.
-func runPosted(f *platformFrontEnd, call func() []byte) []byte {
+// runUrgentCall carries out what waits for the loop, which does not run in these tests.
+func runUrgentCall(f *platformFrontEnd, call func() []byte) []byte {
 	answer := make(chan []byte, 1)
 	go func() { answer <- call() }()
 	(<-f.loop.urgent)()
--- a/internal/server/disconnect_program_test.go
+++ b/internal/server/disconnect_program_test.go
@@ -12,7 +12,7 @@
 
 // A client that disconnects abandons its request, and the engine is told to cancel it.
 func TestDisconnectCancelsAttempt(t *testing.T) {
-	f, e := startWithEngine(t, neverAnswer)
+	f, e := startWithEngine(t, neverReply)
 	c := f.connect()
 	c.send(lookupMessage(1, "x"))
 	waitForRequests(t, 1, e)
@@ -35,7 +35,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGate()
-			f, e := startWithEngine(t, g.answer)
+			f, e := startWithEngine(t, g.reply)
 			first, last := f.connect(), f.connect()
 			first.send(requestMessage("load", requestID(0), longKeyed, "slow"))
 			waitForRequests(t, 1, e)
@@ -69,7 +69,7 @@
 func TestDisconnectAfterPollPath(t *testing.T) {
 	const keyed = "Req-Wait-Ms: 15000\r\nReq-Cost: 9000\r\nReq-Key: k\r\n" // long, or the attempt would be cancelled
 	g := newGate()
-	f, e := startWithEngine(t, g.answer)
+	f, e := startWithEngine(t, g.reply)
 	f.process.Stop()
 	f.changeConfig(`"aimMs":3000`, `"aimMs":30000`)
 	f.process = f.startProcess("")
--- a/internal/server/discovery_program_test.go
+++ b/internal/server/discovery_program_test.go
@@ -13,7 +13,7 @@
 	malformed := fakes.NewScriptedEngine(t, "s-1", func(c fakes.Command) string {
 		return "\x00\xff garbage\r\n" + c.ID + " ACK - 99999999999\r\n"
 	})
-	good := fakes.NewScriptedEngine(t, "s-2", answerOneRow)
+	good := fakes.NewScriptedEngine(t, "s-2", replyOneRow)
 	discovery := fakes.NewScriptedDiscovery(t, func(p fakes.Poll) string {
 		switch p.Number {
 		case 1:
@@ -41,8 +41,8 @@
 
 // An engine is identified by its id: a new one may take the address of one that was
 // removed, and is sent requests there under its own name.
-func TestEngineIdentityIsItsID(t *testing.T) {
-	e := fakes.NewScriptedEngine(t, "s-old", answerOneRow)
+func TestEnginesAreIdentifiedByID(t *testing.T) {
+	e := fakes.NewScriptedEngine(t, "s-old", replyOneRow)
 	replace := make(chan struct{})
 	replacement := e.Endpoint(fakes.Active)
 	replacement.ID = "s-new"
@@ -68,8 +68,8 @@
 
 // All watches stay open and silent while engines begin to drain: the list is polled
 // again on a new connection, and what is draining gets nothing new.
-func TestDrainingWithSilentWatch(t *testing.T) {
-	a, b := fakes.NewScriptedEngine(t, "s-1", answerOneRow), fakes.NewScriptedEngine(t, "s-2", answerOneRow)
+func TestDrainingWithUnresponsiveWatch(t *testing.T) {
+	a, b := fakes.NewScriptedEngine(t, "s-1", replyOneRow), fakes.NewScriptedEngine(t, "s-2", replyOneRow)
 	draining := answerAfter(1, fakes.OneUpdate(2, false, a.Endpoint(fakes.Draining)))
 	discovery := fakes.NewScriptedDiscovery(t, func(p fakes.Poll) string {
 		if p.Connection == 1 { // it stays open and silent
--- a/internal/server/endpoints_test.go
+++ b/internal/server/endpoints_test.go
@@ -12,7 +12,7 @@
 // the program moves to the next address: it is not applied, and what comes from the
 // next under the same revision is.
 func TestStaleDiscoveryAnswer(t *testing.T) {
-	cfg := &Config{Name: "n0", Listen: "127.0.0.1:0", DiscoveryAddress: listEngine(t, "s-previous")}
+	cfg := &Config{Name: "n0", Listen: "127.0.0.1:0", DiscoveryAddress: startDiscoveryListing(t, "s-previous")}
 	cfg.Settings.Classes = []simproto.Class{{Name: "a", Idempotency: "pure"}}
 	cfg.Limits.Sockets = 64
 	s, f, err := newPlatformFrontEnd(cfg)
@@ -21,7 +21,7 @@
 	}
 	t.Cleanup(func() { _ = s.listener.Close() })
 	testprocess.Until(t, "the previous answer in the queue", func() bool { return len(f.loop.queue) == 1 })
-	f.watchDiscovery(listEngine(t, "s-next"))
+	f.watchDiscovery(startDiscoveryListing(t, "s-next"))
 	t.Cleanup(func() { f.watchDiscovery("") })
 	testprocess.Until(t, "the next answer", func() bool { return len(f.loop.queue) > 1 })
 	for len(f.loop.queue) > 0 {
@@ -32,8 +32,8 @@
 	}
 }
 
-// listEngine answers polls for all updates with one engine, and is silent otherwise.
-func listEngine(t *testing.T, engine string) (addr string) {
+// startDiscoveryListing answers polls for all updates with one engine, and is silent otherwise.
+func startDiscoveryListing(t *testing.T, engine string) (addr string) {
 	t.Helper()
 	list := fakes.OneUpdate(2, false, fakes.Endpoint{ID: engine, Address: "127.0.0.1:9", State: fakes.Active})
 	discovery := fakes.NewScriptedDiscovery(t, func(p fakes.Poll) string {
--- a/internal/server/endpointtable_test.go
+++ b/internal/server/endpointtable_test.go
@@ -35,8 +35,8 @@
 	return ids
 }
 
-// firstUsable returns the first engine whose id is among the usable ones, or is not.
-func firstUsable(engines []control.EngineInfo, usable map[string]bool, want bool) control.EngineInfo {
+// findByUsability returns the first engine whose id is among the usable ones, or is not.
+func findByUsability(engines []control.EngineInfo, usable map[string]bool, want bool) control.EngineInfo {
 	i := slices.IndexFunc(engines, func(e control.EngineInfo) bool { return usable[e.ID] == want })
 	return engines[i]
 }
@@ -57,7 +57,7 @@
 	if len(before) == 0 || len(before) >= len(engines) {
 		t.Fatalf("front end 5 of 300 uses %d of %d engines", len(before), len(engines))
 	}
-	draining := firstUsable(engines, before, true)
+	draining := findByUsability(engines, before, true)
 	draining.Draining = true
 	shown := mergeAndSelect(table, false, []control.EngineInfo{draining})
 	if len(shown) != len(engines) {
@@ -185,7 +185,7 @@
 	engines := makeEngines(400)
 	selected := usableIDs(mergeAndSelect(table, true, engines))
 	shown := table.visible()
-	outside := firstUsable(engines, selected, false).ID
+	outside := findByUsability(engines, selected, false).ID
 	if !table.markOverridden(outside) {
 		t.Error("an engine outside the subset is not hidden before it is named")
 	}
@@ -209,12 +209,12 @@
 
 // What was removed is forgotten, so that the list does not grow with every engine that
 // there ever was, also where operators have named one.
-func TestEndpointTableForgetsRemoved(t *testing.T) {
+func TestEndpointTableDropsRemovedEngines(t *testing.T) {
 	table := newLargeFleetTable()
 	engines := makeEngines(400)
 	selected := usableIDs(mergeAndSelect(table, true, engines))
-	table.markOverridden(firstUsable(engines, selected, false).ID)
-	removed := firstUsable(engines, selected, true)
+	table.markOverridden(findByUsability(engines, selected, false).ID)
+	removed := findByUsability(engines, selected, true)
 	removed.Removed = true
 	table.merge(false, []control.EngineInfo{removed})
 	table.visible()
--- a/internal/server/engineinput_program_test.go
+++ b/internal/server/engineinput_program_test.go
@@ -16,13 +16,13 @@
 
 // What an engine sends beyond its answers, an answer to nobody with noise in it or a
 // duplicate of one, ends neither its connection nor another request.
-func TestUnsolicitedEngineAnswers(t *testing.T) {
+func TestUnsolicitedEngineReplies(t *testing.T) {
 	e := fakes.NewScriptedEngine(t, "s-1", func(c fakes.Command) string {
-		answer := fakes.ResultReply(c.ID, "batches=2", "a\tb\tc\n")
+		reply := fakes.ResultReply(c.ID, "batches=2", "a\tb\tc\n")
 		if c.Page == 1 {
-			answer = fakes.PageReply(c.ID, 1, "d\te\tf\n")
+			reply = fakes.PageReply(c.ID, 1, "d\te\tf\n")
 		}
-		return fakes.ResultReply("00000000000000ff", "batches=9", "\xff\xfe") + answer + answer
+		return fakes.ResultReply("00000000000000ff", "batches=9", "\xff\xfe") + reply + reply
 	})
 	f := startFrontEnd(t, "", 1024, e)
 	c := f.connect()
@@ -38,8 +38,8 @@
 // An answer that can't be parsed, or a page that is not rows, costs its connection.
 // What else is open there ends at once: a load has failed, as it may have run, and an
 // idempotent request is retried. Nothing malformed is served.
-func TestMalformedEngineAnswer(t *testing.T) {
-	for _, malformed := range []struct{ name, answer string }{
+func TestMalformedEngineReply(t *testing.T) {
+	for _, malformed := range []struct{ name, reply string }{
 		{"rows not UTF-8", "%s ACK batches=1 8\r\na\t1\t\xff\xfe\xff\n\r\n"},
 		{"row without an end", "%s ACK batches=1 3\r\na\tb\r\n"},
 		{"number of pages", "%s ACK batches=many 6\r\na\tb\tc\n\r\n"},
@@ -57,9 +57,9 @@
 				}
 				lookups++
 				if lookups == 1 {
-					return fmt.Sprintf(malformed.answer, c.ID)
+					return fmt.Sprintf(malformed.reply, c.ID)
 				}
-				return answerOneRow(c)
+				return replyOneRow(c)
 			})
 			f := startFrontEnd(t, "", 1024, e)
 			load, lookup := f.connect(), f.connect()
@@ -88,7 +88,7 @@
 		n, _ := c.Read(buffer)
 		if words := strings.Fields(string(buffer[:n])); len(words) > 1 && words[0] == "PULL" {
 			requests.Add(1)
-			_, _ = io.WriteString(c, answerOneRow(fakes.Command{ID: words[1]})+"0123 AC")
+			_, _ = io.WriteString(c, replyOneRow(fakes.Command{ID: words[1]})+"0123 AC")
 		}
 	})
 	f := startFrontEnd(t, "", 1024, e)
--- a/internal/server/enginestarts_test.go
+++ b/internal/server/enginestarts_test.go
@@ -12,13 +12,13 @@
 
 // A start is counted by the loop's clock, whatever a wall clock says: an engine that has
 // just been listed is never taken for an old one, nor for one that starts later.
-func TestEngineStartsBySteppedClocks(t *testing.T) {
+func TestEngineStartTimesWithSteppedClocks(t *testing.T) {
 	const now = 1e12
 	cases := []struct {
 		name          string
 		sincePrevious time.Duration // 0: there was no list before
-		stated        float64
-		want          float64
+		statedMS      float64
+		wantMS        float64
 	}{
 		{"long ago", time.Second, 0, 0},
 		{"just now", time.Second, now - 300, now - 300},
@@ -37,20 +37,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			var starts engineStarts
 			starts.listUpdated(&discovery.Updates{SincePrevious: c.sincePrevious}, now)
-			if got := starts.startedAtMS("s-1", c.stated); got != c.want {
-				t.Errorf("started %.0f ms ago, want %.0f", now-got, now-c.want)
+			if got := starts.startedAtMS("s-1", c.statedMS); got != c.wantMS {
+				t.Errorf("started %.0f ms ago, want %.0f", now-got, now-c.wantMS)
 			}
 			// Listed again, with the same start, it's no younger and no older.
 			starts.listUpdated(&discovery.Updates{SincePrevious: time.Second}, now+hourMS)
-			if got := starts.startedAtMS("s-1", c.stated); got != c.want {
-				t.Errorf("listed again: started at %.0f, want %.0f", got, c.want)
+			if got := starts.startedAtMS("s-1", c.statedMS); got != c.wantMS {
+				t.Errorf("listed again: started at %.0f, want %.0f", got, c.wantMS)
 			}
 		})
 	}
 }
 
 // A restart, which is another start of the same engine, is as young as the list that has it.
-func TestRestartBySteppedClock(t *testing.T) {
+func TestRestartTimeWithSteppedClock(t *testing.T) {
 	var starts engineStarts
 	starts.listUpdated(&discovery.Updates{}, 5*hourMS)
 	first := starts.startedAtMS("s-1", 5*hourMS)
--- a/internal/server/limits_program_test.go
+++ b/internal/server/limits_program_test.go
@@ -17,7 +17,7 @@
 // Clients past the limit of connections are rejected with a Retry-After, and those
 // within it are served.
 func TestConnectionLimit(t *testing.T) {
-	e := fakes.NewScriptedEngine(t, "s-1", answerNoRows)
+	e := fakes.NewScriptedEngine(t, "s-1", replyNoRows)
 	f := startFrontEnd(t, "", 64, e)
 	var clients []*client
 	for range 30 {
@@ -43,7 +43,7 @@
 // Out of descriptors, as the system's limit has shrunk, the program goes on, and
 // accepts again when some are free.
 func TestOutOfDescriptors(t *testing.T) {
-	f, _ := startWithEngine(t, answerNoRows)
+	f, _ := startWithEngine(t, replyNoRows)
 	f.process.LimitDescriptors(24)
 	var conns []net.Conn
 	for range 40 {
@@ -63,7 +63,7 @@
 
 // Idle clients keep neither the endpoint list, nor engines, nor operators from the
 // program's descriptors, though the list could not be reached when they came.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
+func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	testprocess.MaxDescriptors = 64
 	t.Cleanup(func() { testprocess.MaxDescriptors = 0 })
 	discovery, operators := testprocess.FreeAddr(t), testprocess.FreeAddr(t)
@@ -73,7 +73,7 @@
 	testprocess.Until(t, "more clients than there are descriptors", func() bool { return connected.Load() > 100 })
 	var endpoints []fakes.Endpoint
 	for k := range 14 {
-		e := fakes.NewScriptedEngine(t, fmt.Sprintf("s-%d", k), answerOneRow)
+		e := fakes.NewScriptedEngine(t, fmt.Sprintf("s-%d", k), replyOneRow)
 		endpoints = append(endpoints, e.Endpoint(fakes.Active))
 	}
 	list := &fakes.Discovery{Addr: discovery, Script: answerAfter(1, fakes.OneUpdate(2, true, endpoints...))}
@@ -117,7 +117,7 @@
 					return
 				default:
 				}
-				if err := idleForAWhile(addr, &connected); err != nil {
+				if err := idleUntilClosed(addr, &connected); err != nil {
 					time.Sleep(time.Millisecond)
 				}
 			}
@@ -126,9 +126,9 @@
 	return &connected
 }
 
-// idleForAWhile opens a connection, checks health, and stays idle until it is sent
+// idleUntilClosed opens a connection, checks health, and stays idle until it is sent
 // away or 0.5 s have passed. An error means that it could not connect.
-func idleForAWhile(addr string, connected *atomic.Int32) error {
+func idleUntilClosed(addr string, connected *atomic.Int32) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
@@ -144,7 +144,7 @@
 // Clients that send much at once and disconnect, and lines that never end, cost
 // bounded memory and disturb nobody.
 func TestRequestFloods(t *testing.T) {
-	f := startFrontEnd(t, "", 256, fakes.NewScriptedEngine(t, "s-1", answerOneRow))
+	f := startFrontEnd(t, "", 256, fakes.NewScriptedEngine(t, "s-1", replyOneRow))
 	c := f.connect()
 	var floods sync.WaitGroup
 	for k := range 60 {
--- a/internal/server/overrides_test.go
+++ b/internal/server/overrides_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// handoverDamages are ways in which the handover file can't be written, and how each
+// handoverFileFaults are ways in which the handover file can't be written, and how each
 // is repaired.
-var handoverDamages = map[string]struct{ damage, repair func(path string) error }{
+var handoverFileFaults = map[string]struct{ damage, repair func(path string) error }{
 	"no directory": {
 		damage: func(path string) error { return os.RemoveAll(filepath.Dir(path)) },
 		repair: func(path string) error { return os.Mkdir(filepath.Dir(path), 0o700) },
@@ -30,7 +30,7 @@
 // malformed, it is in force all the same, or the call fails.
 func TestOverrideThatCannotBeRecorded(t *testing.T) {
 	const engine = "s-1"
-	for name, handover := range handoverDamages {
+	for name, handover := range handoverFileFaults {
 		t.Run(name, func(t *testing.T) {
 			f := newUnreplicatedFrontEnd(t)
 			f.admin.recordListed(engine)
@@ -48,7 +48,7 @@
 // Overrides that could not be recorded are in force together, also after another one
 // that could, and the next process learns of all of them.
 func TestOverridesAreRecordedOnceTheFileIsWritable(t *testing.T) {
-	for name, handover := range handoverDamages {
+	for name, handover := range handoverFileFaults {
 		t.Run(name, func(t *testing.T) {
 			f := newUnreplicatedFrontEnd(t)
 			f.override(t, "before", true)
--- a/internal/server/reload_program_test.go
+++ b/internal/server/reload_program_test.go
@@ -32,7 +32,7 @@
 // A file beside the configuration that can't be used ends the program at its start with
 // one line that names the file and the line.
 func TestInvalidFiles(t *testing.T) {
-	f, _ := startWithEngine(t, answerOneRow)
+	f, _ := startWithEngine(t, replyOneRow)
 	f.process.Stop()
 	for _, c := range []struct{ flag, fileName, text, want string }{
 		{"-group", "group.toml", "on = true\nperiod = 1\n", "group.toml: line 2: unknown key"},
@@ -53,7 +53,7 @@
 // left; a file that can't be read changes nothing.
 func TestReload(t *testing.T) {
 	g := newGate()
-	e1, e2 := fakes.NewScriptedEngine(t, "s-1", g.answer), fakes.NewScriptedEngine(t, "s-2", g.answer)
+	e1, e2 := fakes.NewScriptedEngine(t, "s-1", g.reply), fakes.NewScriptedEngine(t, "s-2", g.reply)
 	previous := fakes.NewScriptedDiscovery(t, answerAfter(1, fakes.OneUpdate(4, false, e2.Endpoint(fakes.Active))))
 	removed := fakes.OneUpdate(5, false, fakes.Endpoint{ID: "s-2", State: fakes.Removed})
 	next := fakes.NewScriptedDiscovery(t, answerAfter(4, removed))
@@ -97,8 +97,8 @@
 
 // A configuration that is being written when SIGHUP comes is read again.
 func TestReloadWhileFileIsWritten(t *testing.T) {
-	previous, next := fakes.NewScriptedDiscovery(t, silent), fakes.NewScriptedDiscovery(t, silent)
-	f := startFrontEnd(t, previous.Addr, 1024, fakes.NewScriptedEngine(t, "s-1", answerOneRow))
+	previous, next := fakes.NewScriptedDiscovery(t, neverAnswerPoll), fakes.NewScriptedDiscovery(t, neverAnswerPoll)
+	f := startFrontEnd(t, previous.Addr, 1024, fakes.NewScriptedEngine(t, "s-1", replyOneRow))
 	config := strings.ReplaceAll(f.readConfig(), previous.Addr, next.Addr)
 	testprocess.WriteHalfThenRest(t, f.configPath, config, func() { f.process.Signal(syscall.SIGHUP) })
 	testprocess.Until(t, "a poll of the next list", func() bool { return next.WasPolledAfter(1) })
--- a/internal/server/requests_program_test.go
+++ b/internal/server/requests_program_test.go
@@ -83,7 +83,7 @@
 
 // A malformed request gets a 4xx or 5xx and a close, and never reaches an engine.
 func TestMalformedRequests(t *testing.T) {
-	f, e := startWithEngine(t, answerNoRows)
+	f, e := startWithEngine(t, replyNoRows)
 	for _, c := range malformedRequests {
 		t.Run(c.name, func(t *testing.T) {
 			client := f.connect()
@@ -103,7 +103,7 @@
 
 // An id that was accepted once is not accepted again, also after malformed requests.
 func TestDuplicateRequestID(t *testing.T) {
-	f, e := startWithEngine(t, answerNoRows)
+	f, e := startWithEngine(t, replyNoRows)
 	for _, c := range malformedRequests {
 		f.connect().roundTrip(c.message)
 	}
@@ -120,7 +120,7 @@
 	var mu sync.Mutex
 	running, maxRunning := 0, 0
 	var order []string
-	answer := func(c fakes.Command) string {
+	reply := func(c fakes.Command) string {
 		mu.Lock()
 		running++
 		maxRunning = max(maxRunning, running)
@@ -130,9 +130,9 @@
 		mu.Lock()
 		running--
 		mu.Unlock()
-		return answerNoRows(c)
+		return replyNoRows(c)
 	}
-	f := startFrontEnd(t, "", 1024, fakes.NewScriptedEngine(t, "s-1", answer), fakes.NewScriptedEngine(t, "s-2", answer))
+	f := startFrontEnd(t, "", 1024, fakes.NewScriptedEngine(t, "s-1", reply), fakes.NewScriptedEngine(t, "s-2", reply))
 	var want []string
 	var clients []*client
 	for k := range 5 {
@@ -154,7 +154,7 @@
 // its bytes came while the first was open: the reader must wake for it.
 func TestPipelinedRequests(t *testing.T) {
 	g := newGate()
-	f, e := startWithEngine(t, g.answer)
+	f, e := startWithEngine(t, g.reply)
 	c := f.connect()
 	c.send(lookupMessage(1, "slow"))
 	waitForRequests(t, 1, e)
--- a/internal/server/retry_program_test.go
+++ b/internal/server/retry_program_test.go
@@ -12,33 +12,33 @@
 	"dewhill/internal/fakes"
 )
 
-// lossesOfAnAttempt are ends after which an attempt may have run.
-var lossesOfAnAttempt = []struct {
-	name   string
-	answer fakes.Script
+// mayHaveRunFailures are ends after which an attempt may have run.
+var mayHaveRunFailures = []struct {
+	name  string
+	reply fakes.Script
 }{
-	{"error", answerError},
+	{"error", replyError},
 	{"reset", resetConnection},
 }
 
 // A page that is lost costs an idempotent request nothing: no row has been written to
 // the client yet, and it is retried.
 func TestLostPageIsRetried(t *testing.T) {
-	for _, loss := range lossesOfAnAttempt {
+	for _, loss := range mayHaveRunFailures {
 		t.Run(loss.name, func(t *testing.T) {
 			var once sync.Once
-			answer := func(c fakes.Command) string {
+			reply := func(c fakes.Command) string {
 				if c.Page == 0 {
 					return fakes.ResultReply(c.ID, "batches=2", "a\tb\tc\n")
 				}
 				lost := ""
-				once.Do(func() { lost = loss.answer(c) })
+				once.Do(func() { lost = loss.reply(c) })
 				if lost != "" {
 					return lost
 				}
 				return fakes.PageReply(c.ID, c.Page, "d\te\tf\n")
 			}
-			a, b := fakes.NewScriptedEngine(t, "s-1", answer), fakes.NewScriptedEngine(t, "s-2", answer)
+			a, b := fakes.NewScriptedEngine(t, "s-1", reply), fakes.NewScriptedEngine(t, "s-2", reply)
 			f := startFrontEnd(t, "", 1024, a, b)
 			f.connect().send(lookupMessage(1, "x")).expectRows(2)
 		})
@@ -48,9 +48,9 @@
 // A load that may have run is never sent again: its response is a failure and not a
 // rejection, and there is one.
 func TestLoadThatMayHaveRunIsNotRetried(t *testing.T) {
-	for _, loss := range lossesOfAnAttempt {
+	for _, loss := range mayHaveRunFailures {
 		t.Run(loss.name, func(t *testing.T) {
-			a, b := fakes.NewScriptedEngine(t, "s-1", loss.answer), fakes.NewScriptedEngine(t, "s-2", loss.answer)
+			a, b := fakes.NewScriptedEngine(t, "s-1", loss.reply), fakes.NewScriptedEngine(t, "s-2", loss.reply)
 			f := startFrontEnd(t, "", 1024, a, b)
 			keyed := requestMessage("load", requestID(1), timeoutHeaders+"Req-Key: 7f\r\n", "INSERT")
 			status, _, body := f.connect().roundTrip(keyed)
@@ -65,7 +65,7 @@
 // What provably never ran is retried elsewhere, and in the end rejected in time, with
 // a Retry-After.
 func TestRejectionAfterRetries(t *testing.T) {
-	a, b := fakes.NewScriptedEngine(t, "s-1", answerFull), fakes.NewScriptedEngine(t, "s-2", answerFull)
+	a, b := fakes.NewScriptedEngine(t, "s-1", replyFull), fakes.NewScriptedEngine(t, "s-2", replyFull)
 	f := startFrontEnd(t, "", 1024, a, b)
 	for k, class := range []string{"lookup", "load"} {
 		status, header, body := f.connect().roundTrip(requestMessage(class, requestID(k), "Req-Wait-Ms: 1200\r\n", "x"))
@@ -84,7 +84,7 @@
 // An unresponsive engine costs a load nothing but its deadline, and the response comes
 // before it.
 func TestUnresponsiveEngine(t *testing.T) {
-	f, e := startWithEngine(t, neverAnswer)
+	f, e := startWithEngine(t, neverReply)
 	f.connect().send(requestMessage("load", requestID(1), "Req-Wait-Ms: 700\r\n", "x")).expectError(504, "Deadline")
 	waitForCancels(t, 1, e)
 	if counters := f.process.Stop()["requests"].(map[string]any); counters["Late"] != 0.0 {
@@ -95,7 +95,7 @@
 // A connection that never comes up costs a load no second run and no deadline:
 // nothing was written, so it is retried elsewhere.
 func TestConnectTimeout(t *testing.T) {
-	e := fakes.NewScriptedEngine(t, "s-1", answerOneRow)
+	e := fakes.NewScriptedEngine(t, "s-1", replyOneRow)
 	f := startFrontEnd(t, "", 1024, e, &fakes.Engine{ID: "s-0", Addr: unreachableAddr(t)})
 	c := f.connect()
 	for k := range 12 {
--- a/internal/server/scripts_test.go
+++ b/internal/server/scripts_test.go
@@ -6,15 +6,15 @@
 	"dewhill/internal/fakes"
 )
 
-// answerOneRow, answerNoRows and neverAnswer are scripts of engines.
-func answerOneRow(c fakes.Command) string { return fakes.ResultReply(c.ID, "batches=1", "a\tb\tc\n") }
-func answerNoRows(c fakes.Command) string { return fakes.ResultReply(c.ID, "batches=1", "") }
-func neverAnswer(fakes.Command) string    { return "" }
+// replyOneRow, replyNoRows and neverReply are scripts of engines.
+func replyOneRow(c fakes.Command) string { return fakes.ResultReply(c.ID, "batches=1", "a\tb\tc\n") }
+func replyNoRows(c fakes.Command) string { return fakes.ResultReply(c.ID, "batches=1", "") }
+func neverReply(fakes.Command) string    { return "" }
 
-// answerError and answerFull are scripts of an engine that has failed, and of one that is
+// replyError and replyFull are scripts of an engine that has failed, and of one that is
 // full. resetConnection is one of an engine that resets its connection.
-func answerError(c fakes.Command) string   { return fakes.ErrorReply(c.ID) }
-func answerFull(c fakes.Command) string    { return fakes.FullReply(c.ID) }
+func replyError(c fakes.Command) string    { return fakes.ErrorReply(c.ID) }
+func replyFull(c fakes.Command) string     { return fakes.FullReply(c.ID) }
 func resetConnection(fakes.Command) string { return fakes.ResetConnection }
 
 // gate holds the answers to some statements until it is opened.
@@ -25,13 +25,13 @@
 // open lets all answers out.
 func (g *gate) open() { close(g.opened) }
 
-// answer is a script: it answers with one row, and statements that begin with "slow"
+// reply is a script: it answers with one row, and statements that begin with "slow"
 // once the gate is open.
-func (g *gate) answer(c fakes.Command) string {
+func (g *gate) reply(c fakes.Command) string {
 	if strings.HasPrefix(c.Statement, "slow") {
 		<-g.opened
 	}
-	return answerOneRow(c)
+	return replyOneRow(c)
 }
 
 // answerAfter is a script of a discovery service: it answers polls for the updates after
@@ -45,5 +45,5 @@
 	}
 }
 
-// silent is a script of a discovery service.
-func silent(fakes.Poll) string { return "" }
+// neverAnswerPoll is a script of a discovery service.
+func neverAnswerPoll(fakes.Poll) string { return "" }
--- a/internal/server/settingscheck_test.go
+++ b/internal/server/settingscheck_test.go
@@ -82,7 +82,7 @@
 
 // Settings that are not known are passed over, at each level, as the platform may add
 // some; so are those that this program has no use for.
-func TestUnknownSettingsArePassedOver(t *testing.T) {
+func TestUnknownSettingsAreIgnored(t *testing.T) {
 	want, err := ReadConfig(filepath.Join("testdata", "compat", "config.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -106,7 +106,7 @@
 }
 
 // What the settings leave out has the defaults of the protocol's pages.
-func TestSettingsLeftOut(t *testing.T) {
+func TestOmittedSettingsHaveDefaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := `{"seed":"1","listen":"127.0.0.1:0","board":"127.0.0.1:1",` +
 		`"settings":{"categories":[{"name":"a","effect":"pure"}]}}`
--- a/internal/server/shutdown_program_test.go
+++ b/internal/server/shutdown_program_test.go
@@ -16,7 +16,7 @@
 // and the exit status is 0.
 func TestGracefulShutdown(t *testing.T) {
 	g := newGate()
-	e1, e2 := fakes.NewScriptedEngine(t, "s-1", g.answer), fakes.NewScriptedEngine(t, "s-2", g.answer)
+	e1, e2 := fakes.NewScriptedEngine(t, "s-1", g.reply), fakes.NewScriptedEngine(t, "s-2", g.reply)
 	f := startFrontEnd(t, "", 1024, e1, e2)
 	c, late := f.connect(), f.connect()
 	c.send(lookupMessage(1, "slow"))
@@ -35,7 +35,7 @@
 // are closed though requests are in flight.
 func TestShutdownRaces(t *testing.T) {
 	g := newGate()
-	f, e := startWithEngine(t, g.answer)
+	f, e := startWithEngine(t, g.reply)
 	idle := f.connect()
 	half := f.connect()
 	pipelined := f.connect()
@@ -66,7 +66,7 @@
 // platform may kill the process, whatever its deadline; a second signal and many
 // others change nothing.
 func TestShutdownDeadline(t *testing.T) {
-	f, e := startWithEngine(t, neverAnswer)
+	f, e := startWithEngine(t, neverReply)
 	inFlight, queued := f.connect(), f.connect()
 	const longKeyed = "Req-Wait-Ms: 600000\r\nReq-Key: 7f\r\n"
 	inFlight.send(requestMessage("load", requestID(1), longKeyed, "x"))
@@ -135,7 +135,7 @@
 		readyWithin = 10 * time.Second
 	)
 	discovery := testprocess.FreeAddr(t)
-	e := fakes.NewScriptedEngine(t, "s-1", neverAnswer)
+	e := fakes.NewScriptedEngine(t, "s-1", neverReply)
 	var frontEnds []*frontEndProcess
 	for range count {
 		f := startFrontEnd(t, discovery, 256, e)
--- a/internal/server/subset_program_test.go
+++ b/internal/server/subset_program_test.go
@@ -85,7 +85,7 @@
 func TestSubsetsAfterMassRestart(t *testing.T) {
 	engines := make([]*fakes.Engine, engineCount)
 	for i := range engines {
-		engines[i] = fakes.NewScriptedEngine(t, fmt.Sprintf("s-%02d", i), answerOneRow)
+		engines[i] = fakes.NewScriptedEngine(t, fmt.Sprintf("s-%02d", i), replyOneRow)
 	}
 	unreachable := testprocess.FreeAddr(t)
 	frontEnds := make([]*frontEndProcess, runningCount)
