--- a/internal/server/admin_program_test.go
+++ b/internal/server/admin_program_test.go
@@ -14,7 +14,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// startWithAdminAPI starts a front end that operators can call at an address.
+// startWithAdminAPI starts a front end with an operators' API and returns the API's
+// address.
 func startWithAdminAPI(t *testing.T, engines ...*fakes.Engine) (f *frontEndProcess, operators string) {
 	t.Helper()
 	operators = testprocess.FreeAddr(t)
@@ -22,11 +23,12 @@
 	return startFrontEnd(t, "", 256, engines...), operators
 }
 
-// selectFromGroup is a statement that reads the k-th group of tables: readers keep
-// away from the engine that is preferred for a group's loads.
+// selectFromGroup returns a statement that reads the k-th group of tables. Reads avoid the
+// engine that is preferred for the loads of their group, so that reads of many groups
+// reach every engine.
 func selectFromGroup(k int) string { return fmt.Sprintf("SELECT a FROM sales_%d.orders", k) }
 
-// expectCallStatus makes an operator's call and fails the test on another status.
+// expectCallStatus calls the operators' API and checks the status of the response.
 func expectCallStatus(t *testing.T, operators, method, path string, want int) {
 	t.Helper()
 	if status, _ := callOperatorAPI(operators, method, path); status != want {
@@ -34,8 +36,8 @@
 	}
 }
 
-// The counters tell what was answered by class, what was written to engines, and
-// which engines are listed and which of them unused.
+// The operators' API reports the responses of each class by outcome, the requests written
+// to engines, the open requests, and the listed engines.
 func TestOperatorCounters(t *testing.T) {
 	e := fakes.NewScriptedEngine(t, "s-1", func(c fakes.Command) string {
 		switch c.Statement {
@@ -75,9 +77,9 @@
 	}
 }
 
-// A disabled engine gets nothing new until it is enabled; an id that was never listed
-// is refused, and so is what is no call. Operators who stay connected and don't call
-// are in nobody's way.
+// A disabled engine receives no new request until it is enabled. The API rejects an engine
+// id that was never listed, an unknown path and a wrong method. 40 connections to the API
+// with an incomplete call do not block other calls.
 func TestEngineOverride(t *testing.T) {
 	a, b := fakes.NewScriptedEngine(t, "s-1", replyOneRow), fakes.NewScriptedEngine(t, "s-2", replyOneRow)
 	f, operators := startWithAdminAPI(t, a, b)
@@ -87,7 +89,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
-		_, _ = io.WriteString(c, "GET /control/re") // it may be closed by now
+		_, _ = io.WriteString(c, "GET /control/re") // the API may have closed the connection
 	}
 	for call, want := range map[string]int{
 		"GET ready":                200,
@@ -106,25 +108,26 @@
 		c.roundTrip(lookupMessage(k, selectFromGroup(k)))
 	}
 	if len(a.Attempts()) != 0 {
-		t.Errorf("%d requests at the engine that is disabled", len(a.Attempts()))
+		t.Errorf("%d requests at the disabled engine, want none", len(a.Attempts()))
 	}
 	_, counters := callOperatorAPI(operators, "GET", "counters")
 	if !strings.Contains(string(counters), `"hosts_down":1,"hosts_listed":2`) {
-		t.Errorf("%s", counters)
+		t.Errorf("counters %s, want 1 of 2 engines disabled", counters)
 	}
-	for range 2 { // disabled once or twice, one call enables it
+	for range 2 { // one call enables an engine that was disabled several times
 		callOperatorAPI(operators, "POST", "engines/s-1/offline")
 	}
 	callOperatorAPI(operators, "POST", "engines/s-2/offline")
 	expectCallStatus(t, operators, "POST", "engines/s-1/online", 200)
 	c.send(lookupMessage(30, "x")).expectStatus(200)
 	if len(a.Attempts()) != 1 {
-		t.Errorf("%d requests at the engine that is enabled again", len(a.Attempts()))
+		t.Errorf("%d requests at the engine that is enabled again, want 1", len(a.Attempts()))
 	}
 }
 
-// Out of service, the front end answers that it isn't healthy, closes idle connections
-// and ends others with their response. Back in service, it takes clients again.
+// A front end that is out of service fails health checks, closes idle connections, and
+// closes each other connection after its response. Back in service, it keeps connections
+// open again.
 func TestOutOfService(t *testing.T) {
 	g := newGate()
 	e := fakes.NewScriptedEngine(t, "s-1", g.reply)
@@ -159,13 +162,15 @@
 	}
 }
 
-// lookupGenerator sends lookups one after another, each on a connection of its own.
+// lookupGenerator sends lookups one after another, each on a new connection, and counts
+// the sent and the failed ones.
 type lookupGenerator struct {
 	sent, failed  atomic.Int32
 	done, stopped chan struct{}
 }
 
-// startLookupGenerator sends lookups to a front end until they are stopped.
+// startLookupGenerator starts sending lookups to a front end. It sends until stop is
+// called.
 func startLookupGenerator(f *frontEndProcess) *lookupGenerator {
 	l := &lookupGenerator{done: make(chan struct{}), stopped: make(chan struct{})}
 	go func() {
@@ -187,14 +192,14 @@
 	return l
 }
 
-// stop waits for the last lookup.
+// stop ends the generator after the lookup that is open.
 func (l *lookupGenerator) stop() {
 	close(l.done)
 	<-l.stopped
 }
 
-// In an upgrade the next process takes the clients while the previous one finishes what
-// it has: no connection is rejected, and engines that are disabled stay so.
+// In an upgrade the next process accepts clients while the previous one finishes its open
+// requests: no connection is rejected, and disabled engines stay disabled.
 func TestUpgrade(t *testing.T) {
 	g := newGate()
 	disabled := fakes.NewScriptedEngine(t, "s-1", g.reply)
@@ -222,7 +227,7 @@
 	testprocess.Until(t, "requests after the handover", func() bool { return generator.sent.Load() > before+50 })
 	g.open()
 	if status, header, _ := slow.readResponse(); status != 200 || header.Get("Connection") != "close" {
-		t.Errorf("in flight at the previous process: status %d, %v", status, header)
+		t.Errorf("request in flight at the previous process: status %d, %v", status, header)
 	}
 	f.waitForExit()
 	generator.stop()
@@ -230,7 +235,7 @@
 		t.Errorf("%d of %d requests were not served", generator.failed.Load(), generator.sent.Load())
 	}
 	if len(disabled.Attempts()) != 0 {
-		t.Errorf("%d requests at the engine that is disabled", len(disabled.Attempts()))
+		t.Errorf("%d requests at the disabled engine, want none", len(disabled.Attempts()))
 	}
 	expectCallStatus(t, nextOperators, "POST", "engines/s-1/online", 200)
 	for k := 0; len(disabled.Attempts()) == 0; k++ {
@@ -239,6 +244,6 @@
 		c.close()
 	}
 	if next.Stop()["node"] == nil {
-		t.Error("no counters of the next process")
+		t.Error("the next process printed no counters")
 	}
 }
--- a/internal/server/cluster_program_test.go
+++ b/internal/server/cluster_program_test.go
@@ -12,17 +12,19 @@
 	"dewhill/internal/testprocess"
 )
 
-// datagramCounts are the datagrams that a peer has received: gossip of the dispatcher,
-// and those of a kind, which are the cluster's.
+// datagramCounts counts the datagrams that a peer received: gossip of the dispatcher, and
+// datagrams of the cluster, which begin with a kind byte.
 type datagramCounts struct{ gossip, cluster int }
 
-// minKindByte is the smallest first byte of a datagram that has a kind.
+// minKindByte is the smallest kind byte, the first byte of a cluster datagram.
 const minKindByte = 0x80
 
-// maxGossipBytes is the longest datagram that a front end without a cluster sends.
+// maxGossipBytes is the maximum size of a datagram that a front end without a cluster
+// sends.
 const maxGossipBytes = 256
 
-// receive counts the next datagram, and reports false where none comes in time.
+// receive counts the next datagram. It returns false if none arrives before the read
+// deadline.
 func (d *datagramCounts) receive(t *testing.T, peer *net.UDPConn) bool {
 	t.Helper()
 	var buffer [2048]byte
@@ -31,7 +33,7 @@
 		return false
 	}
 	if n > maxGossipBytes {
-		t.Errorf("a datagram of %d bytes", n)
+		t.Errorf("datagram of %d bytes, want at most %d", n, maxGossipBytes)
 	}
 	if buffer[0] < minKindByte {
 		d.gossip++
@@ -41,22 +43,23 @@
 	return true
 }
 
-// Without a file, and with the one that is shipped, nothing differs from a front end
-// that knows of no cluster: peers receive gossip, as much as was sent and nothing
-// else; the operators' API answers for the cluster's paths as for unknown ones;
-// clients get the same responses; and the counters don't name it, also where others
-// speak of it. Turned on, the cluster sends datagrams at once.
+// Without a cluster file, and with the shipped one, which leaves the cluster off, a front
+// end behaves as one that has no cluster: peers receive exactly the gossip that was
+// counted as sent and no other datagrams, the operators' API responds to the cluster's
+// paths as to unknown ones, clients get the same responses, and the counters have no key
+// of the cluster or of unexpected datagrams. With the cluster on, the front end sends
+// cluster datagrams at once.
 func TestClusterOff(t *testing.T) {
 	turnedOn := testprocess.WriteTempFile(t, "group.toml", "on = true\n")
 	withoutFile := checkCluster(t, "", false)
 	withShippedFile := checkCluster(t, "../../deploy/group.toml", false)
 	if withoutFile != withShippedFile {
-		t.Errorf("responses without a file:\n%s\nwith the one that is shipped:\n%s", withoutFile, withShippedFile)
+		t.Errorf("responses without a file:\n%s\nwith the shipped file:\n%s", withoutFile, withShippedFile)
 	}
 	checkCluster(t, turnedOn, true)
 }
 
-// checkCluster starts a front end with a cluster file, none where it is empty, and
+// checkCluster starts a front end with a cluster file, or without one if file is empty, and
 // checks its datagrams, responses and counters. It returns the responses.
 func checkCluster(t *testing.T, file string, on bool) (responses string) {
 	t.Helper()
@@ -69,33 +72,34 @@
 
 	var datagrams datagramCounts
 	setReadTimeout(t, peer, testprocess.WaitTimeout)
-	for datagrams.gossip < 4 { // three intervals of 1 s and more
+	for datagrams.gossip < 4 { // sent at intervals of 1 s: at least three intervals
 		if !datagrams.receive(t, peer) {
-			t.Fatal("no gossip comes")
+			t.Fatalf("timed out after %d gossip datagrams, want 4", datagrams.gossip)
 		}
 	}
 	responses = operatorResponses(t, operators, on) + clientResponses(f)
 
 	counters := f.process.Stop()
 	if (counters["group"] != nil) != on {
-		t.Errorf("%q: counters %v", file, counters["group"])
+		t.Errorf("%q: cluster counters %v, cluster on: %v", file, counters["group"], on)
 	}
 	frontEnd := counters["node"].(map[string]any)
 	if _, named := frontEnd["Foreign"]; named {
-		t.Errorf("%q: the counters name what nobody sent: %v", file, frontEnd)
+		t.Errorf("%q: the counters have a key for unexpected datagrams, and none were sent: %v", file, frontEnd)
 	}
-	setReadTimeout(t, peer, 200*time.Millisecond) // what came before the end waits in the socket
+	// Datagrams that were sent before the process ended are still in the socket.
+	setReadTimeout(t, peer, 200*time.Millisecond)
 	for datagrams.receive(t, peer) {
 	}
 	if (datagrams.cluster > 0) != on || float64(datagrams.gossip) != frontEnd["Told"] {
-		t.Errorf("%q: %d datagrams of the cluster beside %d of gossip, of which %v were sent",
+		t.Errorf("%q: received %d cluster datagrams and %d of gossip, counted as sent %v of gossip",
 			file, datagrams.cluster, datagrams.gossip, frontEnd["Told"])
 	}
 	return responses
 }
 
-// startWithPeer starts a front end with a cluster file, none where it is empty, and
-// one peer at an address.
+// startWithPeer starts a front end with one peer, and with a cluster file unless file is
+// empty. It returns the address of the operators' API.
 func startWithPeer(t *testing.T, peer, file string) (f *frontEndProcess, operators string) {
 	t.Helper()
 	f = startFleetMember(t, 0, 2, "", 256, fakes.NewScriptedEngine(t, "s-1", replyOneRow))
@@ -117,8 +121,8 @@
 	}
 }
 
-// operatorResponses lists the responses to operators' calls, and checks those for the
-// cluster's paths.
+// operatorResponses returns the responses of the operators' API to a list of calls, and
+// checks the status for the cluster's paths.
 func operatorResponses(t *testing.T, operators string, clusterOn bool) string {
 	t.Helper()
 	var responses strings.Builder
@@ -132,14 +136,14 @@
 			t.Errorf("%s: status %d", call, status)
 		}
 		if path == "fleet" && method == "GET" && clusterOn && status != 200 {
-			t.Errorf("turned on, %s: status %d", call, status)
+			t.Errorf("cluster on, %s: status %d", call, status)
 		}
 		fmt.Fprintf(&responses, "%s: %d %s\n", call, status, body)
 	}
 	return responses.String()
 }
 
-// clientResponses lists the responses to clients' requests.
+// clientResponses returns the responses to three lookups of a client, without their dates.
 func clientResponses(f *frontEndProcess) string {
 	f.t.Helper()
 	var responses strings.Builder
--- a/internal/server/compat_config_test.go
+++ b/internal/server/compat_config_test.go
@@ -14,8 +14,8 @@
 	"dewhill/internal/simproto"
 )
 
-// The platform writes the file that $PROXY_CONFIG names. The golden one has every key
-// that is read, none of them at zero.
+// The platform writes the file that $PROXY_CONFIG names. The golden file sets every key
+// that is read, each to a value other than zero.
 func TestCompatConfig(t *testing.T) {
 	for _, name := range []string{"PROXY_NAME", "PROXY_LISTEN", "PROXY_CONTROL"} {
 		t.Setenv(name, "")
@@ -47,11 +47,11 @@
 		t.Fatal(err)
 	}
 	if again = append(again, '\n'); !bytes.Equal(again, golden(t, "config.json")) {
-		t.Errorf("written again:\n%s", again)
+		t.Errorf("marshaled again, the configuration differs from the golden file:\n%s", again)
 	}
 }
 
-// checkInitialUpdates checks the golden configuration's updates of the endpoint list.
+// checkInitialUpdates checks the endpoint list updates of the golden configuration.
 func checkInitialUpdates(t *testing.T, updates *discovery.Updates) {
 	t.Helper()
 	endpoints := []discovery.Endpoint{
@@ -139,7 +139,8 @@
 	expectEqual(t, "zone", s.Zone, 1)
 }
 
-// checkControl checks what the words of the golden configuration stand for.
+// checkControl checks the control settings that the enum values of the golden
+// configuration are converted to.
 func checkControl(t *testing.T, s *simproto.Settings) {
 	t.Helper()
 	converted, err := s.Control()
@@ -156,7 +157,7 @@
 	expectEqual(t, "answers", converted.LoadReportsInAnswers && converted.LoadReportsInProbes, true)
 }
 
-// checkNoneZero reports fields of the golden configuration that were not read.
+// checkNoneZero reports zero fields of the golden configuration: they were not read.
 func checkNoneZero(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -188,8 +189,8 @@
 	}
 }
 
-// The platform starts each front end of a group with the same file and names of
-// its own in the environment.
+// The platform starts all front ends of a group with the same file. The name and the
+// addresses of each are in its environment.
 func TestCompatEnvironment(t *testing.T) {
 	t.Setenv("PROXY_NAME", "gw-8")
 	t.Setenv("PROXY_LISTEN", "127.0.0.1:8081")
--- a/internal/server/compat_counters_test.go
+++ b/internal/server/compat_counters_test.go
@@ -13,8 +13,8 @@
 	"dewhill/internal/goldentest"
 )
 
-// Operators and their tools read the counters that are printed on SIGUSR1 and at
-// the end, and that GET /-/counters answers.
+// Operators and their tools read the counters that the program prints on SIGUSR1 and when
+// it ends, and that GET /-/counters returns.
 func TestCompatReport(t *testing.T) {
 	f := newFrontEndWithDistinctCounters(t)
 	text := f.loop.CountersJSON()
@@ -23,7 +23,8 @@
 	if err := json.Unmarshal(text, &all); err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range []string{"heap_mb", "goroutines", "group"} { // of the machine, or of internal/cluster
+	// These depend on the host, or are tested in internal/cluster.
+	for _, name := range []string{"heap_mb", "goroutines", "group"} {
 		delete(all, name)
 	}
 	text, err := json.MarshalIndent(all, "", "  ")
@@ -33,7 +34,8 @@
 	checkValues(t, "report.json", text)
 }
 
-// The keys of reports are in alphabetical order: operators compare reports as text.
+// The keys of the counters are in alphabetical order, as operators compare counters as
+// text.
 func TestCompatKeyOrder(t *testing.T) {
 	f := newFrontEndWithDistinctCounters(t)
 	checkKeyOrder(t, f.loop.CountersJSON())
@@ -41,7 +43,7 @@
 	checkKeyOrder(t, newCompatMySQLService(t).loop.CountersJSON())
 }
 
-// checkKeyOrder checks that the topmost keys of a JSON text are in alphabetical order.
+// checkKeyOrder checks that the top-level keys of a JSON text are in alphabetical order.
 func checkKeyOrder(t *testing.T, text []byte) {
 	t.Helper()
 	var values map[string]json.RawMessage
@@ -53,12 +55,12 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, sorted) {
-		t.Errorf("answered\n%s\nwith its keys in order\n%s", text, sorted)
+		t.Errorf("got\n%s\nwant, with the keys in order\n%s", text, sorted)
 	}
 }
 
-// Without a cluster, and without an unexpected datagram, the report has no key for
-// either.
+// The counters have no key for the cluster if there is none, and no key for unexpected
+// datagrams if none were received.
 func TestCompatReportWithoutCluster(t *testing.T) {
 	f := newFrontEndWithDistinctCounters(t)
 	f.cluster = nil
@@ -66,7 +68,7 @@
 	checkKeyPaths(t, "report-alone-paths.txt", f.loop.CountersJSON())
 }
 
-// The MySQL front end has a report of its own.
+// The counters of the MySQL front end have different keys.
 func TestCompatReportMySQL(t *testing.T) {
 	s := newCompatMySQLService(t)
 	checkKeyPaths(t, "report-mysql-paths.txt", s.loop.CountersJSON())
@@ -87,8 +89,8 @@
 	return s
 }
 
-// Operators' tools read what GET /control/counters answers: internal/adminapi's tests
-// have the calls, docs/on-call.md the names.
+// Operators' tools read the counters that GET /control/counters returns. The tests of
+// internal/adminapi cover the calls, and docs/on-call.md documents the names.
 func TestCompatOperatorCounters(t *testing.T) {
 	f := newFrontEndWithDistinctCounters(t)
 	f.counters.Reloads = 31
@@ -96,20 +98,20 @@
 	f.httpServer.Counters.Classes[0].Served = 33
 	f.httpServer.Counters.Classes[0].Rejected = 34
 	f.httpServer.Counters.Classes[0].Failed = 35
-	f.applyUpdates(&f.cfg.InitialUpdates) // one engine that is active, one draining and one removed
+	f.applyUpdates(&f.cfg.InitialUpdates) // an active engine, a draining one and a removed one
 	text := runUrgentCall(f, f.admin.CountersJSON)
 	checkValues(t, "control-counters.json", text)
 }
 
-// Operators' tools read what GET /control/fleet and /control/state answer.
+// Operators' tools read the responses to GET /control/fleet and GET /control/state.
 func TestCompatOperatorViews(t *testing.T) {
 	f := newFrontEndWithDistinctCounters(t)
 	checkKeyPaths(t, "control-fleet-paths.txt", runUrgentCall(f, f.admin.FleetJSON))
 	checkKeyPaths(t, "control-state-paths.txt", runUrgentCall(f, f.admin.StateJSON))
 }
 
-// newFrontEndWithDistinctCounters is a front end with everything turned on, one open request, and
-// counters that each have a value of their own.
+// newFrontEndWithDistinctCounters returns a front end with all features on, one open
+// request, and a different value in each counter.
 func newFrontEndWithDistinctCounters(t *testing.T) *platformFrontEnd {
 	t.Helper()
 	t.Setenv("TMPDIR", t.TempDir())
@@ -135,9 +137,14 @@
 		_ = f.admin.listener.Close()
 		_ = f.peers.Close()
 	})
-	arrivedAtMS := f.loop.Now() + 60000 // so that the request is in no hurry, however slow the machine is
-	openRequest := dispatch.Request{ID: "9b1f03aa5c7e2d41", ArrivedAtMS: arrivedAtMS, DeadlineAtMS: arrivedAtMS + 60000}
-	if err := f.loop.Submit(openRequest, dispatch.Query{Statement: []byte("x")}, func(dispatch.Answer, any) {}); err != nil {
+	arrivedAtMS := f.loop.Now() + 60000 // far from its deadline, however slow the host is
+	openRequest := dispatch.Request{
+		ID:           "9b1f03aa5c7e2d41",
+		ArrivedAtMS:  arrivedAtMS,
+		DeadlineAtMS: arrivedAtMS + 60000,
+	}
+	query := dispatch.Query{Statement: []byte("x")}
+	if err := f.loop.Submit(openRequest, query, func(dispatch.Answer, any) {}); err != nil {
 		t.Fatal(err)
 	}
 	next := 0
@@ -154,8 +161,8 @@
 	return f
 }
 
-// fillCounters gives each number of a structure of counters a value of its own, in the
-// order of its fields, and each map one entry.
+// fillCounters sets each number in a counters struct to the next value, in the order of
+// the fields, and each map to one entry with the next value.
 func fillCounters(v reflect.Value, next *int) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -179,11 +186,12 @@
 	case reflect.Float64:
 		*next++
 		v.SetFloat(float64(*next))
-	default: // no counter
+	default: // not a counter
 	}
 }
 
-// runUrgentCall carries out what waits for the loop, which does not run in these tests.
+// runUrgentCall runs a call that posts an urgent function and waits for its result. It runs
+// the function itself, as the loop does not run in these tests.
 func runUrgentCall(f *platformFrontEnd, call func() []byte) []byte {
 	answer := make(chan []byte, 1)
 	go func() { answer <- call() }()
@@ -191,7 +199,8 @@
 	return <-answer
 }
 
-// checkValues compares a JSON text with a golden one, whatever the order of keys.
+// checkValues compares the values of a JSON text with a golden file, ignoring the order of
+// keys.
 func checkValues(t *testing.T, name string, text []byte) {
 	t.Helper()
 	var got, want any
@@ -202,19 +211,20 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: answered\n%s", name, text)
+		t.Errorf("%s: got\n%s", name, text)
 	}
 }
 
-// checkKeyPaths compares the paths and types of a JSON text's keys with a golden list.
+// checkKeyPaths compares the key paths and value types of a JSON text with a golden file.
 func checkKeyPaths(t *testing.T, name string, text []byte) {
 	t.Helper()
 	if got := keyPaths(t, text); got != string(golden(t, name)) {
-		t.Errorf("%s: answered\n%s", name, got)
+		t.Errorf("%s: got\n%s", name, got)
 	}
 }
 
-// keyPaths lists the paths of keys in a JSON text with the types of their values.
+// keyPaths returns the key paths of a JSON text with the types of their values, sorted,
+// one on each line.
 func keyPaths(t *testing.T, text []byte) string {
 	t.Helper()
 	var top any
--- a/internal/server/compat_test.go
+++ b/internal/server/compat_test.go
@@ -13,8 +13,8 @@
 	"dewhill/internal/dispatch"
 )
 
-// golden returns a golden file. They were written by the program at commit
-// bdc982f and are never written by a test.
+// golden returns the contents of a golden file. The program at commit bdc982f wrote the
+// golden files; tests never write them.
 func golden(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "compat", name))
@@ -24,7 +24,7 @@
 	return data
 }
 
-// expectEqual compares a field's value with the one that the golden file gives it.
+// expectEqual checks that a field has the expected value.
 func expectEqual(t *testing.T, name string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
@@ -32,8 +32,8 @@
 	}
 }
 
-// The handover file in $TMPDIR: in an upgrade the next process, of another version,
-// reads what the previous one wrote, and that one what the next writes.
+// In an upgrade two processes of different versions read each other's updates of the
+// handover file in $TMPDIR.
 func TestCompatHandoverFile(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	path := filepath.Join(os.Getenv("TMPDIR"), "dewhill-gw-7.json")
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 	}
-	update(func(state *handoverState) { state.Version-- }) // which an update counts up
+	update(func(state *handoverState) { state.Version-- }) // the update increments it
 	checkHandoverFile(t, path, "handover.json")
 	update(func(state *handoverState) { state.DisabledEngines = append(state.DisabledEngines, "s-3") })
 	checkHandoverFile(t, path, "handover-changed.json")
@@ -65,7 +65,7 @@
 	update(func(state *handoverState) { state.ReadyProcess = "9f3ac07715e2b004" })
 	checkHandoverFile(t, path, "handover-first.json")
 	if _, err := os.Stat(path + ".lock"); err != nil {
-		t.Errorf("the lock that both processes take: %v", err)
+		t.Errorf("the lock file that both processes use: %v", err)
 	}
 }
 
@@ -76,11 +76,11 @@
 		t.Fatal(err)
 	}
 	if want := golden(t, name); !bytes.Equal(data, want) {
-		t.Errorf("%s: written\n%s\nwant\n%s", name, data, want)
+		t.Errorf("%s: wrote\n%s\nwant\n%s", name, data, want)
 	}
 }
 
-// Operators read these names in log lines, and as keys of the counters.
+// Operators read these names in log lines and as keys of the counters.
 func TestCompatNames(t *testing.T) {
 	var text strings.Builder
 	for reason := control.Reason(0); reason.String() != "unknown reason"; reason++ {
@@ -93,11 +93,11 @@
 		fmt.Fprintf(&text, "outcome %d: %v\n", int(outcome), outcome)
 	}
 	if text.String() != string(golden(t, "names.txt")) {
-		t.Errorf("now:\n%s", text.String())
+		t.Errorf("names differ from names.txt, got\n%s", text.String())
 	}
 }
 
-// Operators follow a request by its line in the log.
+// Operators trace a request by its log line, whose format must not change.
 func TestCompatRequestLine(t *testing.T) {
 	var lines []string
 	log := newRequestLog(func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) })
--- a/internal/server/disconnect_program_test.go
+++ b/internal/server/disconnect_program_test.go
@@ -10,7 +10,7 @@
 	"dewhill/internal/testprocess"
 )
 
-// A client that disconnects abandons its request, and the engine is told to cancel it.
+// If a client disconnects, the attempt of its request is cancelled at the engine.
 func TestDisconnectCancelsAttempt(t *testing.T) {
 	f, e := startWithEngine(t, neverReply)
 	c := f.connect()
@@ -20,11 +20,11 @@
 	waitForCancels(t, 1, e)
 }
 
-// A client disconnects while its load is queued behind another of its key. Its load is
-// never sent, and the one behind it runs.
+// A client disconnects while its load is queued behind another load with the same key. Its
+// load is never sent to an engine, and the next load in the queue runs.
 func TestDisconnectWhileQueued(t *testing.T) {
 	keyed := timeoutHeaders + "Req-Key: 7f\r\n"
-	// Long, so that the attempt is not cancelled as lost.
+	// The expected cost is high, as otherwise the attempt would be cancelled as lost.
 	longKeyed := strings.Replace(keyed, "Req-Cost: 20", "Req-Cost: 1500", 1)
 	for name, beforeClose := range map[string]func(c *client){
 		"closed":             func(*client) {},
@@ -61,13 +61,14 @@
 	}
 }
 
-// setReset has a connection reset when it is closed.
+// setReset makes close reset the connection.
 func setReset(c *client) { _ = c.conn.(*net.TCPConn).SetLinger(0) }
 
-// A client that was given a path to poll disconnects while its load is queued behind
-// another of its key, and does not poll: the load never begins.
+// A client receives a path to poll while its load is queued behind another load with the
+// same key. It disconnects and does not poll: the load is never sent to an engine.
 func TestDisconnectAfterPollPath(t *testing.T) {
-	const keyed = "Req-Wait-Ms: 15000\r\nReq-Cost: 9000\r\nReq-Key: k\r\n" // long, or the attempt would be cancelled
+	// The expected cost is high, as otherwise the attempt would be cancelled as lost.
+	const keyed = "Req-Wait-Ms: 15000\r\nReq-Cost: 9000\r\nReq-Key: k\r\n"
 	g := newGate()
 	f, e := startWithEngine(t, g.reply)
 	f.process.Stop()
@@ -79,7 +80,7 @@
 	waitForRequests(t, 1, e)
 	disconnecting.send(requestMessage("load", requestID(2), keyed, "disconnecting"))
 	if _, _, body := disconnecting.readResponse(); body.Poll == "" {
-		t.Fatalf("no path to poll: %+v", body)
+		t.Fatalf("the response has no path to poll: %+v", body)
 	}
 	disconnecting.close()
 	f.waitForCounter(`"Away":1`)
@@ -89,6 +90,6 @@
 		return len(e.Attempts()) > 1 || strings.Contains(f.process.Log(), `"Refused":1`)
 	})
 	if len(e.Attempts()) != 1 {
-		t.Errorf("%d requests at the engine: %+v", len(e.Attempts()), e.Attempts())
+		t.Errorf("%d requests at the engine, want 1: %+v", len(e.Attempts()), e.Attempts())
 	}
 }
--- a/internal/server/discovery_program_test.go
+++ b/internal/server/discovery_program_test.go
@@ -7,8 +7,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// Malformed input from an engine or from the source of the endpoint list costs that
-// connection and nothing else, and a snapshot without engines is ignored.
+// Malformed input from an engine or from the discovery service ends only the connection
+// that it came from, and a snapshot without engines is ignored.
 func TestMalformedEngineAndDiscoveryInput(t *testing.T) {
 	malformed := fakes.NewScriptedEngine(t, "s-1", func(c fakes.Command) string {
 		return "\x00\xff garbage\r\n" + c.ID + " ACK - 99999999999\r\n"
@@ -20,7 +20,7 @@
 			p.Answer("rubbish")
 		case 2:
 			p.Answer(`{"rev":9,"notices":[{"rev":2,"pool":{"hosts":[{"host":"","health":"active"}]}}]}`)
-		case 4: // after the good list, one that would leave no engine
+		case 4: // after the valid list, a snapshot without engines
 			p.Answer(fakes.OneUpdate(3, true).JSON())
 		default:
 			list := fakes.OneUpdate(2, false, fakes.Endpoint{ID: "s-1", State: fakes.Removed}, good.Endpoint(fakes.Active))
@@ -39,8 +39,8 @@
 	}
 }
 
-// An engine is identified by its id: a new one may take the address of one that was
-// removed, and is sent requests there under its own name.
+// Engines are identified by their ids. A new engine that has the address of a removed one
+// is a different engine: requests are sent to it on a new connection.
 func TestEnginesAreIdentifiedByID(t *testing.T) {
 	e := fakes.NewScriptedEngine(t, "s-old", replyOneRow)
 	replace := make(chan struct{})
@@ -62,17 +62,18 @@
 		return closed == 1
 	})
 	if opened, _ := e.ConnectionCounts(); opened != 2 {
-		t.Errorf("%d connections, want one for each engine", opened)
+		t.Errorf("%d connections opened, want 2: one for each engine", opened)
 	}
 }
 
-// All watches stay open and silent while engines begin to drain: the list is polled
-// again on a new connection, and what is draining gets nothing new.
+// An engine begins to drain while the watch of the endpoint list stays open and
+// unresponsive. The list is polled again on a new connection, and the draining engine
+// receives no new request.
 func TestDrainingWithUnresponsiveWatch(t *testing.T) {
 	a, b := fakes.NewScriptedEngine(t, "s-1", replyOneRow), fakes.NewScriptedEngine(t, "s-2", replyOneRow)
 	draining := answerAfter(1, fakes.OneUpdate(2, false, a.Endpoint(fakes.Draining)))
 	discovery := fakes.NewScriptedDiscovery(t, func(p fakes.Poll) string {
-		if p.Connection == 1 { // it stays open and silent
+		if p.Connection == 1 { // stays open and unanswered
 			return ""
 		}
 		return draining(p)
@@ -85,6 +86,6 @@
 		c.send(lookupMessage(k, selectFromGroup(k))).expectStatus(200)
 	}
 	if sent := len(a.Attempts()) - before; sent != 0 {
-		t.Errorf("%d requests at the engine that is draining", sent)
+		t.Errorf("%d new requests at the draining engine, want none", sent)
 	}
 }
--- a/internal/server/endpoints_test.go
+++ b/internal/server/endpoints_test.go
@@ -8,9 +8,9 @@
 	"dewhill/internal/testprocess"
 )
 
-// An answer from the previous address of the endpoint list lies in the loop's queue as
-// the program moves to the next address: it is not applied, and what comes from the
-// next under the same revision is.
+// The address of the discovery service changes while an answer from the previous address
+// is in the loop's queue. That answer is not applied. The answer from the next address is
+// applied, although it has the same revision.
 func TestStaleDiscoveryAnswer(t *testing.T) {
 	cfg := &Config{Name: "n0", Listen: "127.0.0.1:0", DiscoveryAddress: startDiscoveryListing(t, "s-previous")}
 	cfg.Settings.Classes = []simproto.Class{{Name: "a", Idempotency: "pure"}}
@@ -28,11 +28,12 @@
 		(<-f.loop.queue)()
 	}
 	if len(f.endpoints.engines) != 1 || f.endpoints.engines[0].ID != "s-next" {
-		t.Errorf("%+v", f.endpoints.engines)
+		t.Errorf("engines %+v, want s-next only", f.endpoints.engines)
 	}
 }
 
-// startDiscoveryListing answers polls for all updates with one engine, and is silent otherwise.
+// startDiscoveryListing starts a discovery service that answers polls for all updates with
+// one engine, and no other polls.
 func startDiscoveryListing(t *testing.T, engine string) (addr string) {
 	t.Helper()
 	list := fakes.OneUpdate(2, false, fakes.Endpoint{ID: engine, Address: "127.0.0.1:9", State: fakes.Active})
--- a/internal/server/endpointtable_test.go
+++ b/internal/server/endpointtable_test.go
@@ -10,7 +10,7 @@
 	"dewhill/internal/subset"
 )
 
-// newLargeFleetTable is the empty table of a front end in a fleet of 300, which uses a
+// newLargeFleetTable returns the empty table of a front end in a fleet of 300, which uses a
 // subset of the engines.
 func newLargeFleetTable() *endpointTable {
 	return newEndpointTable(subset.Plan{GatewayIndex: 5, GatewayCount: 300, Size: subset.AutoSize}, []int{8})
@@ -24,7 +24,7 @@
 	return engines
 }
 
-// usableIDs are the ids of engines that may be sent new requests.
+// usableIDs returns the ids of the engines that may receive new requests.
 func usableIDs(engines []control.EngineInfo) map[string]bool {
 	ids := map[string]bool{}
 	for _, e := range engines {
@@ -35,52 +35,54 @@
 	return ids
 }
 
-// findByUsability returns the first engine whose id is among the usable ones, or is not.
+// findByUsability returns the first engine that is in the set of usable ids if want is
+// true, or the first that is not in it.
 func findByUsability(engines []control.EngineInfo, usable map[string]bool, want bool) control.EngineInfo {
 	i := slices.IndexFunc(engines, func(e control.EngineInfo) bool { return usable[e.ID] == want })
 	return engines[i]
 }
 
-// mergeAndSelect applies an update and returns the whole list after it.
+// mergeAndSelect applies an update and returns the whole list with the subset selected.
 func mergeAndSelect(table *endpointTable, snapshot bool, engines []control.EngineInfo) []control.EngineInfo {
 	table.merge(snapshot, engines)
 	return table.selectSubset()
 }
 
-// An engine of the subset that begins to drain is shown draining at once, in the same
-// update, and another takes its place: the dispatcher is never shown a list with
-// nothing usable while there are engines.
+// If an engine of the subset begins to drain, the same update marks it as draining and
+// replaces it by another engine: the dispatcher never receives a list without usable
+// engines while some are listed.
 func TestEndpointTableReplacesDrainingEngine(t *testing.T) {
 	table := newLargeFleetTable()
 	engines := makeEngines(40)
 	before := usableIDs(mergeAndSelect(table, true, engines))
 	if len(before) == 0 || len(before) >= len(engines) {
-		t.Fatalf("front end 5 of 300 uses %d of %d engines", len(before), len(engines))
+		t.Fatalf("front end 5 of 300 uses %d of %d engines, want some but not all", len(before), len(engines))
 	}
 	draining := findByUsability(engines, before, true)
 	draining.Draining = true
 	shown := mergeAndSelect(table, false, []control.EngineInfo{draining})
 	if len(shown) != len(engines) {
-		t.Fatalf("the dispatcher is shown %d engines of %d", len(shown), len(engines))
+		t.Fatalf("the list has %d engines, want %d", len(shown), len(engines))
 	}
 	after := usableIDs(shown)
 	if after[draining.ID] {
 		t.Fatalf("engine %s is draining and still usable", draining.ID)
 	}
 	if len(after) == 0 {
-		t.Fatal("nothing is usable after one engine began to drain")
+		t.Fatal("no engine is usable after one began to drain")
 	}
-	// A restarted front end, from nothing but the list, shows the same.
+	// A restarted front end selects the same subset from the list alone.
 	restarted := newLargeFleetTable()
 	mergeAndSelect(restarted, true, engines)
 	got := usableIDs(mergeAndSelect(restarted, false, []control.EngineInfo{draining}))
 	if !maps.Equal(got, after) {
-		t.Fatalf("after a restart %v, before %v", got, after)
+		t.Fatalf("usable after a restart: %v, before: %v", got, after)
 	}
 }
 
-// A snapshot without engines removes none; one that names an engine twice holds what
-// it says last, and a shorter one removes the rest.
+// A snapshot without engines is ignored while the table has some. In a snapshot that lists
+// an engine twice the last entry counts, and engines that a snapshot leaves out are
+// removed.
 func TestEndpointTableMalformedSnapshots(t *testing.T) {
 	table := newEndpointTable(subset.Plan{GatewayIndex: 1, GatewayCount: 2, Size: subset.AutoSize}, []int{8})
 	if table.wouldEmptyList(true, 0) {
@@ -98,7 +100,7 @@
 	draining.Draining = true
 	shown := mergeAndSelect(table, true, []control.EngineInfo{engines[1], engines[2], draining})
 	if usable := usableIDs(shown); len(shown) != 2 || len(usable) != 1 || !usable[engines[1].ID] {
-		t.Errorf("shown %+v", shown)
+		t.Errorf("the list is %+v, want 2 engines, only %s usable", shown, engines[1].ID)
 	}
 	removed := []control.EngineInfo{engines[1], draining}
 	for i := range removed {
@@ -106,13 +108,12 @@
 	}
 	mergeAndSelect(table, false, removed)
 	if table.wouldEmptyList(true, 0) {
-		t.Error("a list without engines is ignored though all were removed")
+		t.Error("a snapshot without engines is ignored although all engines were removed")
 	}
 }
 
-// The slow-start budget of an engine is divided among all front ends that are
-// configured, also where the cluster takes some for dead: partitioned, they go on
-// sending.
+// The slow-start budget of an engine is divided among all configured front ends, including
+// those that the cluster considers dead: in a partition they continue to send requests.
 func TestSlowStartCountsConfiguredFrontEnds(t *testing.T) {
 	const fleetSize = 40
 	var engines []control.EngineInfo
@@ -127,7 +128,7 @@
 		engine string
 		index  int
 	}
-	taken := map[slot]bool{} // on both sides of a partition
+	usedSlots := map[slot]bool{} // on both sides of a partition
 	shared := map[string]bool{}
 	for index := range fleetSize {
 		sameSide := make([]bool, fleetSize)
@@ -137,33 +138,34 @@
 		unpartitioned := selectFor(index, nil)
 		for i, e := range selectFor(index, sameSide) {
 			if e.SlowStartGatewayCount != unpartitioned[i].GatewayCount {
-				t.Fatalf("%s: divided among %d, configured %d", e.ID, e.SlowStartGatewayCount, unpartitioned[i].GatewayCount)
+				t.Fatalf("%s: slow start divided among %d front ends, want %d",
+					e.ID, e.SlowStartGatewayCount, unpartitioned[i].GatewayCount)
 			}
 			if e.SlowStartGatewayIndex < 0 {
 				continue
 			}
 			s := slot{engine: e.ID, index: e.SlowStartGatewayIndex}
-			if taken[s] {
-				t.Fatalf("%s: two front ends have index %d", e.ID, e.SlowStartGatewayIndex)
+			if usedSlots[s] {
+				t.Fatalf("%s: two front ends have slow-start index %d", e.ID, e.SlowStartGatewayIndex)
 			}
-			taken[s] = true
+			usedSlots[s] = true
 			shared[e.ID] = true
 		}
 	}
 	if len(shared) != len(engines) {
-		t.Errorf("quotas at %d engines of %d", len(shared), len(engines))
+		t.Errorf("%d of %d engines have a slow-start share", len(shared), len(engines))
 	}
 }
 
-// The dispatcher is shown the engines that it may use, those that are draining or have
-// just been removed, and no others.
+// The dispatcher receives the engines of the subset and those that are draining or were
+// just removed, and no others.
 func TestEndpointTableShowsSubset(t *testing.T) {
 	table := newLargeFleetTable()
 	engines := makeEngines(400)
 	selected := usableIDs(mergeAndSelect(table, true, engines))
 	shown := table.visible()
 	if usable := usableIDs(shown); len(shown) != len(selected) || !maps.Equal(usable, selected) {
-		t.Fatalf("shown %d, usable %v, want %v", len(shown), usable, selected)
+		t.Fatalf("%d engines visible, usable %v, want only %v", len(shown), usable, selected)
 	}
 	draining, removed := shown[0], shown[1]
 	draining.Draining = true
@@ -174,12 +176,13 @@
 		states[e.ID] = e
 	}
 	if !states[draining.ID].Draining || !states[removed.ID].Removed || table.listedCount() != len(engines)-1 {
-		t.Errorf("draining %+v, removed %+v, %d listed", states[draining.ID], states[removed.ID], table.listedCount())
+		t.Errorf("draining %+v, removed %+v, %d listed, want %d",
+			states[draining.ID], states[removed.ID], table.listedCount(), len(engines)-1)
 	}
 }
 
-// An engine that operators have named is shown though it is outside the subset, and
-// still not used.
+// An engine that operators have overridden is visible to the dispatcher even if it is
+// outside the subset, and is still not used.
 func TestEndpointTableShowsOverridden(t *testing.T) {
 	table := newLargeFleetTable()
 	engines := makeEngines(400)
@@ -187,28 +190,28 @@
 	shown := table.visible()
 	outside := findByUsability(engines, selected, false).ID
 	if !table.markOverridden(outside) {
-		t.Error("an engine outside the subset is not hidden before it is named")
+		t.Error("an engine outside the subset was not hidden before its override")
 	}
 	if table.markOverridden(outside) {
-		t.Error("an engine that was named before is hidden")
+		t.Error("an engine was hidden although it was overridden before")
 	}
 	if table.markOverridden(shown[0].ID) {
-		t.Error("an engine of the subset is hidden")
+		t.Error("an engine of the subset was hidden")
 	}
 	if table.markOverridden("never listed") {
-		t.Error("an engine that was never listed is hidden")
+		t.Error("an engine that was never listed is reported as hidden before")
 	}
 	now := table.visible()
 	if len(now) != len(shown)+1 {
-		t.Errorf("shown %d with one named by an operator, %d before", len(now), len(shown))
+		t.Errorf("%d engines visible after the override, want %d", len(now), len(shown)+1)
 	}
 	if usableIDs(now)[outside] {
-		t.Error("an engine outside the subset may be used")
+		t.Error("an overridden engine outside the subset is usable")
 	}
 }
 
-// What was removed is forgotten, so that the list does not grow with every engine that
-// there ever was, also where operators have named one.
+// Removed engines are deleted from the table, also if operators have overridden one. The
+// table would otherwise grow with every engine that was ever listed.
 func TestEndpointTableDropsRemovedEngines(t *testing.T) {
 	table := newLargeFleetTable()
 	engines := makeEngines(400)
@@ -227,6 +230,6 @@
 		table.visible()
 	}
 	if len(table.engines) != len(engines)-1 || len(table.indexByID) != len(table.engines) {
-		t.Errorf("%d engines are kept of %d that are listed", len(table.engines), len(engines)-1)
+		t.Errorf("the table holds %d engines, want the %d that are listed", len(table.engines), len(engines)-1)
 	}
 }
--- a/internal/server/engineinput_program_test.go
+++ b/internal/server/engineinput_program_test.go
@@ -14,8 +14,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// What an engine sends beyond its answers, an answer to nobody with noise in it or a
-// duplicate of one, ends neither its connection nor another request.
+// Unsolicited replies of an engine end neither its connection nor an open request. They are
+// a reply with invalid UTF-8 to an unknown request id, and duplicates of replies.
 func TestUnsolicitedEngineReplies(t *testing.T) {
 	e := fakes.NewScriptedEngine(t, "s-1", func(c fakes.Command) string {
 		reply := fakes.ResultReply(c.ID, "batches=2", "a\tb\tc\n")
@@ -31,13 +31,13 @@
 	}
 	connections, _ := e.ConnectionCounts()
 	if len(e.Attempts()) != 5 || connections != 1 {
-		t.Errorf("%d requests on %d connections", len(e.Attempts()), connections)
+		t.Errorf("%d requests on %d connections, want 5 on 1", len(e.Attempts()), connections)
 	}
 }
 
-// An answer that can't be parsed, or a page that is not rows, costs its connection.
-// What else is open there ends at once: a load has failed, as it may have run, and an
-// idempotent request is retried. Nothing malformed is served.
+// A reply that can't be parsed, or a page that does not consist of rows, ends the
+// connection. Other attempts that are open there end at once: a load fails, as it may have
+// run, and an idempotent request is retried. No malformed row is served.
 func TestMalformedEngineReply(t *testing.T) {
 	for _, malformed := range []struct{ name, reply string }{
 		{"rows not UTF-8", "%s ACK batches=1 8\r\na\t1\t\xff\xfe\xff\n\r\n"},
@@ -67,7 +67,7 @@
 			waitForRequests(t, 1, e)
 			status, _, body := lookup.roundTrip(lookupMessage(2, "x"))
 			if status != 200 || fmt.Sprint(body.Page) != "[[a b c]]" {
-				t.Errorf("status %d, %+v", status, body)
+				t.Errorf("status %d, want 200 and one row: %+v", status, body)
 			}
 			load.expectError(502, "Failed")
 			if len(e.Attempts()) != 3 {
@@ -77,8 +77,8 @@
 	}
 }
 
-// An engine answers, begins another line and closes: the answer counts, and the next
-// request goes out on a new connection.
+// An engine replies, sends a part of another line and closes the connection. The reply is
+// used, and the next request is sent on a new connection.
 func TestPartialLineAtClose(t *testing.T) {
 	var requests atomic.Int32
 	e := &fakes.Engine{ID: "s-1"}
@@ -96,7 +96,7 @@
 	for k := range 10 {
 		c.send(lookupMessage(k, "x")).expectRows(1)
 		f.waitForCounter(fmt.Sprintf(`"Dials":%d`, k+1))
-		testprocess.Until(t, "the close to be noticed", func() bool {
+		testprocess.Until(t, "the front end to notice the close", func() bool {
 			f.process.Signal(syscall.SIGUSR1)
 			log := f.process.Log()
 			return strings.Contains(log[strings.LastIndex(log, "counters: "):], `"engine_conns":0`)
--- a/internal/server/eventloop_test.go
+++ b/internal/server/eventloop_test.go
@@ -6,8 +6,8 @@
 	"dewhill/control"
 )
 
-// What is urgent goes ahead of all that is posted: the handling of a client's
-// disconnect does not wait for what came before it.
+// Urgent events run before all other posted events, so that handling a client's disconnect
+// does not wait for the events queued before it.
 func TestPostUrgent(t *testing.T) {
 	l := newEventLoop("t", control.Settings{}, 1)
 	var order []string
@@ -17,6 +17,6 @@
 	l.PostUrgent(func() { order = append(order, "urgent") })
 	l.run(func() bool { return len(order) == 3 })
 	if order[0] != "urgent" || order[1] != "a" {
-		t.Errorf("%q", order)
+		t.Errorf("events ran in the order %q, want the urgent one first", order)
 	}
 }
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -18,35 +18,35 @@
 	"dewhill/internal/testprocess"
 )
 
-// frontEndProcess is the program as a platform front end.
+// frontEndProcess is a process of the program that runs as a platform front end.
 type frontEndProcess struct {
 	t          *testing.T
-	addr       string // of clients
+	addr       string // where clients connect
 	configPath string
 	tempDir    string // its $TMPDIR
 	process    *testprocess.Process
 }
 
-// deadlineMS bounds a request of the platform's classes.
+// deadlineMS is the deadline of requests, for all of the platform's classes.
 const deadlineMS = 20000
 
-// startFrontEnd starts the first of two front ends, with so many descriptors. Its
-// endpoint list is polled at an address, empty for none, and has the engines from
-// the start.
+// startFrontEnd starts the first of two front ends, with a limit of descriptors. It knows
+// the engines from its configuration, and polls the discovery service for updates unless
+// that address is empty.
 func startFrontEnd(t *testing.T, discovery string, sockets int, engines ...*fakes.Engine) *frontEndProcess {
 	t.Helper()
 	return startFleetMember(t, 0, 2, discovery, sockets, engines...)
 }
 
-// startWithEngine starts the first of two front ends, with one engine that has a script.
+// startWithEngine starts the first of two front ends, with one engine that runs a script.
 func startWithEngine(t *testing.T, script fakes.Script) (*frontEndProcess, *fakes.Engine) {
 	t.Helper()
 	e := fakes.NewScriptedEngine(t, "s-1", script)
 	return startFrontEnd(t, "", 1024, e), e
 }
 
-// startFleetMember starts a front end of a fleet of the given size, and waits until
-// it is healthy. $PROXY_CONTROL is its address for operators.
+// startFleetMember starts a front end of a fleet of the given size and waits until it is
+// healthy. $PROXY_CONTROL is the address of its operators' API.
 func startFleetMember(
 	t *testing.T, index, fleetSize int, discovery string, sockets int, engines ...*fakes.Engine,
 ) *frontEndProcess {
@@ -102,14 +102,14 @@
 	}
 }
 
-// startProcess starts a process of the front end that operators can call at an
-// address, or nowhere where it is empty.
+// startProcess starts a process of the front end. control is the address of the operators'
+// API; without one there is no API.
 func (f *frontEndProcess) startProcess(control string, args ...string) *testprocess.Process {
 	f.t.Helper()
 	return testprocess.Start(f.t, fakes.ProgramEnvironment(f.configPath, control, f.tempDir), args...)
 }
 
-// changeConfig replaces a part of the configuration's text, which must be in it.
+// changeConfig replaces a part of the configuration's text. The text must contain it.
 func (f *frontEndProcess) changeConfig(part, replacement string) {
 	f.t.Helper()
 	text := f.readConfig()
@@ -119,19 +119,19 @@
 	f.writeConfig(strings.ReplaceAll(text, part, replacement))
 }
 
-// waitHealthy waits until the front end answers that it is healthy.
+// waitHealthy waits until the front end passes its health check.
 func (f *frontEndProcess) waitHealthy() {
 	f.t.Helper()
 	testprocess.Until(f.t, "the front end to be healthy", func() bool { return fakes.Healthy(f.addr) })
 }
 
-// waitForLog waits until the log has a text.
+// waitForLog waits until the log contains a text.
 func (f *frontEndProcess) waitForLog(text string) {
 	f.t.Helper()
 	testprocess.Until(f.t, text, func() bool { return strings.Contains(f.process.Log(), text) })
 }
 
-// waitForCounter waits until the program has printed a text among its counters.
+// waitForCounter makes the program print its counters until its log contains a text.
 func (f *frontEndProcess) waitForCounter(text string) {
 	f.t.Helper()
 	testprocess.Until(f.t, text, func() bool {
@@ -140,7 +140,7 @@
 	})
 }
 
-// waitForRequests waits until engines together were sent exactly so many requests.
+// waitForRequests waits until the engines have received count requests in total.
 func waitForRequests(t *testing.T, count int, engines ...*fakes.Engine) {
 	t.Helper()
 	testprocess.Until(t, fmt.Sprintf("%d requests at engines", count), func() bool {
@@ -152,34 +152,33 @@
 	})
 }
 
-// waitForCancels waits until an engine was told to cancel exactly so many requests.
+// waitForCancels waits until an engine has received count requests to cancel an attempt.
 func waitForCancels(t *testing.T, count int, e *fakes.Engine) {
 	t.Helper()
 	testprocess.Until(t, fmt.Sprintf("%d cancellations", count), func() bool { return e.CommandCount("KILL") == count })
 }
 
-// waitForExit waits for the process to end, and fails the test unless its exit status
-// is 0.
+// waitForExit waits for the process to end and checks that its exit status is 0.
 func (f *frontEndProcess) waitForExit() {
 	f.t.Helper()
 	if code := f.process.Wait(); code != 0 {
-		f.t.Errorf("exit status %d", code)
+		f.t.Errorf("exit status %d, want 0", code)
 	}
 }
 
-// callOperatorAPI makes an operator's call; status 0: there is no answer.
+// callOperatorAPI calls the operators' API. Status 0 means that there was no response.
 func callOperatorAPI(addr, method, path string) (status int, body []byte) {
 	return fakes.CallOperators(addr, method, path, testprocess.WaitTimeout)
 }
 
-// client is a client's connection.
+// client is a connection of a client.
 type client struct {
 	t      *testing.T
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// connect opens a client's connection, which is closed with the test.
+// connect opens a connection of a client. It is closed when the test ends.
 func (f *frontEndProcess) connect() *client {
 	f.t.Helper()
 	c, err := net.Dial("tcp", f.addr)
@@ -193,7 +192,7 @@
 	return &client{t: f.t, conn: c, reader: bufio.NewReader(c)}
 }
 
-// send writes to a connection that is open.
+// send writes a message. The connection must be open.
 func (c *client) send(message string) *client {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, message); err != nil {
@@ -202,13 +201,13 @@
 	return c
 }
 
-// trySend writes to a connection that may have been closed.
+// trySend writes a message. The connection may have been closed.
 func (c *client) trySend(message string) { _, _ = io.WriteString(c.conn, message) }
 
-// close closes the connection.
 func (c *client) close() { _ = c.conn.Close() }
 
-// roundTrip writes a message and reads its response; status 0: the connection ended.
+// roundTrip writes a message and reads its response. Status 0 means that the connection
+// ended.
 func (c *client) roundTrip(message string) (status int, header textproto.MIMEHeader, body fakes.ResponseBody) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, message); err != nil {
@@ -217,17 +216,17 @@
 	return c.readResponse()
 }
 
-// readResponse reads a response; status 0: the connection ended.
+// readResponse reads a response. Status 0 means that the connection ended.
 func (c *client) readResponse() (status int, header textproto.MIMEHeader, body fakes.ResponseBody) {
 	status, header, text, err := fakes.ReadResponse(c.reader)
 	if err != nil {
 		return 0, nil, fakes.ResponseBody{}
 	}
-	_ = json.Unmarshal(text, &body) // a body that is no JSON is as good as none
+	_ = json.Unmarshal(text, &body) // a body that is not JSON counts as empty
 	return status, header, body
 }
 
-// expectStatus reads a response with a status.
+// expectStatus reads a response and checks its status.
 func (c *client) expectStatus(want int) {
 	c.t.Helper()
 	if status, _, body := c.readResponse(); status != want {
@@ -235,7 +234,7 @@
 	}
 }
 
-// expectRows reads a response that is a result of so many rows.
+// expectRows reads a response and checks that it is a result with a number of rows.
 func (c *client) expectRows(want int) {
 	c.t.Helper()
 	if status, _, body := c.readResponse(); status != 200 || len(body.Page) != want {
@@ -243,7 +242,7 @@
 	}
 }
 
-// expectError reads a response with a status and an error.
+// expectError reads a response and checks its status and error.
 func (c *client) expectError(wantStatus int, want string) {
 	c.t.Helper()
 	if status, _, body := c.readResponse(); status != wantStatus || body.Err != want {
@@ -251,45 +250,46 @@
 	}
 }
 
-// expectLastResponse reads a response of one row that ends the connection.
+// expectLastResponse reads a response and checks that it has one row and announces the
+// end of the connection.
 func (c *client) expectLastResponse(name string) {
 	c.t.Helper()
 	status, header, body := c.readResponse()
 	if status != 200 || len(body.Page) != 1 || header.Get("Connection") != "close" {
-		c.t.Errorf("%s: status %d, %v, %+v", name, status, header, body)
+		c.t.Errorf("%s: status %d, want 200, one row and a close: %v, %+v", name, status, header, body)
 	}
 }
 
-// waitClosed waits until the front end has closed an idle connection, in order and
-// not by a reset: from then on no idle connection is left.
+// waitClosed waits until the front end has closed an idle connection, without a reset. From
+// then on no idle connection is left.
 func (c *client) waitClosed() {
 	c.t.Helper()
 	if _, err := c.reader.ReadByte(); err != io.EOF {
-		c.t.Fatalf("an idle connection ends with %v", err)
+		c.t.Fatalf("idle connection ended with %v, want EOF", err)
 	}
 }
 
-// timeoutHeaders give a request 15 s and an expected cost of 20 ms.
+// timeoutHeaders set a request timeout of 15 s and an expected cost of 20 ms.
 const timeoutHeaders = "Req-Wait-Ms: 15000\r\nReq-Cost: 20\r\n"
 
-// requestMessage is a client's request. Each of the headers ends with a line break.
+// requestMessage returns a request of a client. Each of the headers ends with a line break.
 func requestMessage(class, id, headers, statement string) string {
 	return fmt.Sprintf("POST /api/v2/%s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s",
 		class, id, headers, len(statement), statement)
 }
 
-// lookupMessage is an idempotent request with the k-th id.
+// lookupMessage returns an idempotent request with the k-th id.
 func lookupMessage(k int, statement string) string {
 	return requestMessage("lookup", requestID(k), timeoutHeaders, statement)
 }
 
-// loadMessage is a request with the k-th id that must not run twice.
+// loadMessage returns a load, which must not run twice, with the k-th id.
 func loadMessage(k int, statement string) string {
 	return requestMessage("load", requestID(k), timeoutHeaders, statement)
 }
 
-// healthCheck is the request by which clients' load balancers check health.
+// healthCheck is the request by which clients' load balancers check the front end's health.
 const healthCheck = "GET /-/healthy HTTP/1.1\r\n\r\n"
 
-// requestID is the k-th id.
+// requestID returns the k-th request id.
 func requestID(k int) string { return fmt.Sprintf("%016x", k) }
--- a/internal/server/limits_program_test.go
+++ b/internal/server/limits_program_test.go
@@ -14,8 +14,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// Clients past the limit of connections are rejected with a Retry-After, and those
-// within it are served.
+// Clients beyond the connection limit are rejected with a retry delay, and clients within
+// it are served.
 func TestConnectionLimit(t *testing.T) {
 	e := fakes.NewScriptedEngine(t, "s-1", replyNoRows)
 	f := startFrontEnd(t, "", 64, e)
@@ -40,8 +40,8 @@
 	}
 }
 
-// Out of descriptors, as the system's limit has shrunk, the program goes on, and
-// accepts again when some are free.
+// If the system's descriptor limit is lowered and no descriptor is left, the program keeps
+// running, and accepts connections again when descriptors are free.
 func TestOutOfDescriptors(t *testing.T) {
 	f, _ := startWithEngine(t, replyNoRows)
 	f.process.LimitDescriptors(24)
@@ -57,12 +57,13 @@
 	}
 	f.connect().send(lookupMessage(1, "x")).expectStatus(200)
 	if counters := f.process.Stop()["front"].(map[string]any); counters["AcceptErrors"] == 0.0 {
-		t.Errorf("the limit was never reached: %v", counters)
+		t.Errorf("the descriptor limit was never reached: %v", counters)
 	}
 }
 
-// Idle clients keep neither the endpoint list, nor engines, nor operators from the
-// program's descriptors, though the list could not be reached when they came.
+// Idle clients do not use up the descriptors that the program needs for the endpoint list,
+// for engines and for operators, even if the clients connected while the discovery service
+// could not be reached.
 func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	testprocess.MaxDescriptors = 64
 	t.Cleanup(func() { testprocess.MaxDescriptors = 0 })
@@ -70,7 +71,7 @@
 	t.Setenv("PROXY_CONTROL", operators)
 	f := startFrontEnd(t, discovery, 64)
 	connected := keepReconnecting(t, f.addr, 80)
-	testprocess.Until(t, "more clients than there are descriptors", func() bool { return connected.Load() > 100 })
+	testprocess.Until(t, "more connections than there are descriptors", func() bool { return connected.Load() > 100 })
 	var endpoints []fakes.Endpoint
 	for k := range 14 {
 		e := fakes.NewScriptedEngine(t, fmt.Sprintf("s-%d", k), replyOneRow)
@@ -88,18 +89,19 @@
 		c.close()
 	}
 	if status, _ := callOperatorAPI(operators, "GET", "ready"); status != 200 {
-		t.Errorf("operators: status %d", status)
+		t.Errorf("operators' API: status %d, want 200", status)
 	}
 	status, body := callOperatorAPI(operators, "GET", "counters")
 	log := f.process.Log()
 	if status != 200 || strings.Contains(log, "too many open files") || strings.Contains(log, "out of descriptors") {
-		t.Errorf("status %d, %s", status, body)
+		t.Errorf("counters: status %d, %s; log:\n%s", status, body, log)
 	}
 	f.waitForCounter(`"AcceptErrors":0`)
 }
 
-// keepReconnecting has so many clients connect, stay idle, and connect again whenever
-// they are sent away, until the test ends. It returns how often one has connected.
+// keepReconnecting runs clients that connect, stay idle, and reconnect whenever their
+// connection is closed, until the test ends. It returns the number of connections made so
+// far.
 func keepReconnecting(t *testing.T, addr string, count int) *atomic.Int32 {
 	t.Helper()
 	var connected atomic.Int32
@@ -126,8 +128,9 @@
 	return &connected
 }
 
-// idleUntilClosed opens a connection, checks health, and stays idle until it is sent
-// away or 0.5 s have passed. An error means that it could not connect.
+// idleUntilClosed opens a connection, sends a health check, and stays idle until the front
+// end closes the connection or 0.5 s have passed. It returns an error if it could not
+// connect.
 func idleUntilClosed(addr string, connected *atomic.Int32) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -141,8 +144,8 @@
 	return nil
 }
 
-// Clients that send much at once and disconnect, and lines that never end, cost
-// bounded memory and disturb nobody.
+// Clients that send megabytes without a line break and disconnect use a bounded amount of
+// memory, and other clients are still served.
 func TestRequestFloods(t *testing.T) {
 	f := startFrontEnd(t, "", 256, fakes.NewScriptedEngine(t, "s-1", replyOneRow))
 	c := f.connect()
@@ -152,27 +155,27 @@
 	}
 	served := 0
 	for k := range 20 {
-		// A load: an attempt at a lookup is cancelled and retried where the machine is so
-		// busy that its answer is late.
+		// Loads, because the attempt of a lookup is cancelled and retried if the host is so
+		// busy that the reply is late.
 		switch status, _, _ := c.roundTrip(loadMessage(k, selectFromGroup(k))); status {
 		case 200:
 			served++
-		case 503: // where the machine is so busy that it could not be sent in time
+		case 503: // the host is so busy that the request could not be sent in time
 		default:
-			t.Errorf("status %d", status)
+			t.Errorf("request %d: status %d, want 200 or 503", k, status)
 		}
 	}
 	floods.Wait()
 	if served == 0 {
-		t.Error("nothing was served beside the floods")
+		t.Error("no request was served during the floods")
 	}
 	if mb := f.process.Stop()["heap_mb"].(float64); mb > 100 {
-		t.Errorf("%v MB of memory for floods of 480 MB", mb)
+		t.Errorf("heap of %v MB after floods of 480 MB, want at most 100 MB", mb)
 	}
 }
 
-// flood sends 8 MB without a line break, every second time after a request, for 3 s at
-// most.
+// flood sends 8 MB without a line break, for at most 3 s. If k is even, it sends a request
+// first.
 func flood(addr string, k int) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/server/listen_test.go
+++ b/internal/server/listen_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What waits in a listener's backlog is handed over before it closes.
+// closeAndDrain serves the connections in a listener's backlog before it closes.
 func TestCloseAndDrain(t *testing.T) {
 	l, err := listen("127.0.0.1:0", true)
 	if err != nil {
@@ -13,7 +13,7 @@
 	}
 	next, err := listen(l.Addr().String(), true)
 	if err != nil {
-		t.Fatalf("a second listener on the address: %v", err)
+		t.Fatalf("second listener on the address: %v", err)
 	}
 	if err := next.Close(); err != nil {
 		t.Fatal(err)
@@ -37,10 +37,10 @@
 	})
 	for _, c := range clients {
 		if _, err := c.Read(make([]byte, 1)); err != nil {
-			t.Errorf("a connection from the backlog: %v", err)
+			t.Errorf("connection from the backlog: %v", err)
 		}
 	}
 	if served != 5 {
-		t.Errorf("%d served, want 5", served)
+		t.Errorf("%d connections served, want 5", served)
 	}
 }
--- a/internal/server/overrides_test.go
+++ b/internal/server/overrides_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// handoverFileFaults are ways in which the handover file can't be written, and how each
-// is repaired.
+// handoverFileFaults are faults after which the handover file can't be written, and their
+// repairs.
 var handoverFileFaults = map[string]struct{ damage, repair func(path string) error }{
 	"no directory": {
 		damage: func(path string) error { return os.RemoveAll(filepath.Dir(path)) },
@@ -25,9 +25,9 @@
 	},
 }
 
-// An operator who is told that an engine is disabled can rely on it: where the override
-// can't be recorded, as the directory of the handover file has gone or the file is
-// malformed, it is in force all the same, or the call fails.
+// An override that can't be recorded, because the handover file's directory is missing or
+// the file is malformed or not writable, still applies, or the operator's call fails: a
+// call that succeeds must mean that the engine is disabled.
 func TestOverrideThatCannotBeRecorded(t *testing.T) {
 	const engine = "s-1"
 	for name, handover := range handoverFileFaults {
@@ -39,14 +39,14 @@
 			}
 			err := f.setEngineOverride(engine, true)
 			if err == nil && !f.admin.disabled[engine] {
-				t.Error("the call succeeded, and the engine is not disabled")
+				t.Error("the call succeeded, but the engine is not disabled")
 			}
 		})
 	}
 }
 
-// Overrides that could not be recorded are in force together, also after another one
-// that could, and the next process learns of all of them.
+// Overrides that could not be recorded all apply, also after a later override was recorded.
+// Once the file can be written again they are saved, so that the next process reads them.
 func TestOverridesAreRecordedOnceTheFileIsWritable(t *testing.T) {
 	for name, handover := range handoverFileFaults {
 		t.Run(name, func(t *testing.T) {
@@ -62,14 +62,14 @@
 			f.expectDisabled(t, "before", "during")
 			f.admin.savePendingOverrides()
 			if !f.admin.handover.hasPending() {
-				t.Fatal("nothing is pending while the file can't be written")
+				t.Fatal("no override is pending while the file can't be written")
 			}
 			if err := handover.repair(path); err != nil {
 				t.Fatal(err)
 			}
 			f.admin.savePendingOverrides()
 			if f.admin.handover.hasPending() {
-				t.Fatal("overrides are pending though the file can be written")
+				t.Fatal("overrides are pending although the file can be written")
 			}
 			f.override(t, "after", true)
 			f.expectDisabled(t, "after", "before", "during")
@@ -79,14 +79,14 @@
 			}
 			slices.Sort(next.DisabledEngines)
 			if !slices.Equal(next.DisabledEngines, []string{"after", "before", "during"}) {
-				t.Errorf("the next process is told of %q", next.DisabledEngines)
+				t.Errorf("the next process reads the disabled engines %q", next.DisabledEngines)
 			}
 		})
 	}
 }
 
-// A handover file that was deleted tells of no other process, and the overrides that it
-// held stay in force with those that follow.
+// If the handover file is deleted, the process does not conclude that another one has
+// replaced it, and the overrides that the file held still apply with later ones.
 func TestDeletedHandoverFile(t *testing.T) {
 	f := newUnreplicatedFrontEnd(t)
 	becomeReady := func(state *handoverState) { state.ReadyProcess = f.admin.token }
@@ -98,17 +98,17 @@
 		t.Fatal(err)
 	}
 	if f.admin.replaced() {
-		t.Error("another process is taken to be ready")
+		t.Error("without the file, another process is taken to be ready")
 	}
 	f.override(t, "after", true)
 	f.expectDisabled(t, "after", "before")
 	if f.admin.replaced() {
-		t.Error("another process is taken to be ready, once the file is there again")
+		t.Error("another process is taken to be ready after the file was written again")
 	}
 }
 
-// Overrides of two processes of a front end reach the other one, and an older process
-// writes none of its pending ones over those of the process that has replaced it.
+// A process that was replaced does not save its pending overrides, which would overwrite
+// those of the next process. It does apply the overrides that the next process records.
 func TestReplacedProcessSavesNoPendingOverride(t *testing.T) {
 	f := newUnreplicatedFrontEnd(t)
 	temporary := f.admin.handover.path + ".new"
@@ -132,14 +132,15 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(state.DisabledEngines, []string{"s-2"}) {
-		t.Errorf("the process that took over is told of %q", state.DisabledEngines)
+		t.Errorf("the next process reads the disabled engines %q, want only s-2", state.DisabledEngines)
 	}
 	go f.admin.applyChangedHandover()
 	f.loop.run(func() bool { return f.admin.disabled["s-2"] })
 	f.expectDisabled(t, "s-1", "s-2")
 }
 
-// setEngineOverride calls as an operator does, while the loop runs.
+// setEngineOverride calls SetEngineOverride as the operators' API does, while the loop
+// runs.
 func (f *platformFrontEnd) setEngineOverride(engine string, disabled bool) (result error) {
 	answered := false
 	go func() {
@@ -153,7 +154,7 @@
 	return result
 }
 
-// override disables a listed engine or enables it, which must succeed.
+// override disables or enables a listed engine, and fails the test after an error.
 func (f *platformFrontEnd) override(t *testing.T, engine string, disabled bool) {
 	t.Helper()
 	f.admin.recordListed(engine)
@@ -165,12 +166,11 @@
 func (f *platformFrontEnd) expectDisabled(t *testing.T, engines ...string) {
 	t.Helper()
 	if got := slices.Sorted(maps.Keys(f.admin.disabled)); !slices.Equal(got, engines) {
-		t.Errorf("disabled are %q, want %q", got, engines)
+		t.Errorf("disabled engines %q, want %q", got, engines)
 	}
 }
 
-// newUnreplicatedFrontEnd is a front end with an address for operators and without a
-// cluster.
+// newUnreplicatedFrontEnd returns a front end with an operators' API and without a cluster.
 func newUnreplicatedFrontEnd(t testing.TB) *platformFrontEnd {
 	t.Helper()
 	t.Setenv("TMPDIR", t.TempDir())
--- a/internal/server/peers_test.go
+++ b/internal/server/peers_test.go
@@ -9,8 +9,9 @@
 	"dewhill/internal/peer"
 )
 
-// Off, the cluster sets no timer in the loop and asks for no larger datagrams; on, it
-// does. Either way it admits no strangers.
+// A disabled cluster sets no timers in the loop and does not raise the maximum size of
+// datagrams; an enabled one does both. Neither accepts datagrams from senders that are not
+// in the list of peers.
 func TestClusterOffSetsNoTimers(t *testing.T) {
 	for name, on := range map[string]bool{"off": false, "on": true} {
 		t.Run(name, func(t *testing.T) {
@@ -31,16 +32,16 @@
 				t.Fatal(err)
 			}
 			if joined := f.cluster != nil; joined != on {
-				t.Errorf("joined the cluster: %v", joined)
+				t.Errorf("joined the cluster: %v, want %v", joined, on)
 			}
 			if timers := f.loop.timers.Len(); (timers > 0) != on {
-				t.Errorf("%d timers", timers)
+				t.Errorf("%d timers in the loop, cluster on: %v", timers, on)
 			}
 			if larger := transport.MaxDatagramBytes > peer.MaxDatagramBytes; larger != on {
-				t.Errorf("datagrams of %d bytes", transport.MaxDatagramBytes)
+				t.Errorf("datagrams of up to %d bytes, cluster on: %v", transport.MaxDatagramBytes, on)
 			}
 			if transport.AcceptStrangers {
-				t.Error("strangers are admitted")
+				t.Error("datagrams from unlisted senders are accepted")
 			}
 		})
 	}
--- a/internal/server/reload_program_test.go
+++ b/internal/server/reload_program_test.go
@@ -11,7 +11,7 @@
 	"dewhill/internal/testprocess"
 )
 
-// An invalid configuration ends the program with one clear line.
+// The program rejects an invalid configuration with one line that names the cause.
 func TestInvalidConfiguration(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"not JSON", `{`, "unexpected end"},
@@ -23,14 +23,14 @@
 			path := testprocess.WriteTempFile(t, "config.json", c.text)
 			p := testprocess.Start(t, []string{"PROXY_CONFIG=" + path, "PROXY_LISTEN="})
 			if code := p.Wait(); code == 0 || strings.Count(p.Log(), "\n") != 1 || !strings.Contains(p.Log(), c.want) {
-				t.Errorf("exit status %d, log %q", code, p.Log())
+				t.Errorf("exit status %d, log %q, want one line with %q", code, p.Log(), c.want)
 			}
 		})
 	}
 }
 
-// A file beside the configuration that can't be used ends the program at its start with
-// one line that names the file and the line.
+// The program rejects an invalid cluster or subset file at its start, with exit status 1 and
+// one line of log that names the file and the line in it.
 func TestInvalidFiles(t *testing.T) {
 	f, _ := startWithEngine(t, replyOneRow)
 	f.process.Stop()
@@ -42,15 +42,16 @@
 			path := testprocess.WriteTempFile(t, c.fileName, c.text)
 			p := testprocess.Start(t, []string{"PROXY_CONFIG=" + f.configPath}, c.flag, path)
 			if code := p.Wait(); code != 1 || strings.Count(p.Log(), "\n") != 1 || !strings.Contains(p.Log(), c.want) {
-				t.Errorf("exit status %d, log %q", code, p.Log())
+				t.Errorf("exit status %d, log %q, want one line with %q", code, p.Log(), c.want)
 			}
 		})
 	}
 }
 
-// SIGHUP moves the program to the endpoint list whose address the file has by then.
-// Revisions go on, requests that are in flight stay there, and the old address is
-// left; a file that can't be read changes nothing.
+// After SIGHUP the program polls the endpoint list at the address that the configuration
+// file now has. It continues with the revision that it has reached, open requests continue
+// at their engines, and the connections to the previous address are closed. A file that
+// can't be read changes nothing.
 func TestReload(t *testing.T) {
 	g := newGate()
 	e1, e2 := fakes.NewScriptedEngine(t, "s-1", g.reply), fakes.NewScriptedEngine(t, "s-2", g.reply)
@@ -62,8 +63,8 @@
 	c := f.connect()
 	c.send(loadMessage(1, "slow"))
 	waitForRequests(t, 1, e1, e2)
-	// An address that is silent is polled again, well before what it had sent is too old.
-	testprocess.Until(t, "the silent address to be polled again", func() bool { return len(previous.Connections()) > 1 })
+	// An unresponsive address is polled again before the last answer from it is too old.
+	testprocess.Until(t, "another poll of the unresponsive address", func() bool { return len(previous.Connections()) > 1 })
 
 	config := f.readConfig()
 	reload := func(text, logged string) {
@@ -77,25 +78,25 @@
 	f.waitForLog("engine s-2 at : removed")
 	testprocess.Until(t, "the next poll of the next list", func() bool { return next.WasPolledAfter(5) })
 	if next.WasPolledAfter(1) || next.WasPolledAfter(0) {
-		t.Errorf("the next list was polled after %v", next.Polls())
+		t.Errorf("the next list was polled from an earlier revision: %v", next.Polls())
 	}
 	for _, conn := range previous.Connections() {
 		if err := conn.SetReadDeadline(time.Now().Add(testprocess.WaitTimeout)); err != nil {
-			continue // closed here too
+			continue // the fake service has closed it too
 		}
 		if _, err := conn.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
-			t.Errorf("a connection to the previous list is in use: %v", err)
+			t.Errorf("connection to the previous list still open: %v", err)
 		}
 	}
 	g.open()
 	c.expectRows(1)
 	counters := f.process.Stop()["node"].(map[string]any)
 	if counters["Reloads"] != 1.0 || counters["BadReloads"] != 1.0 || counters["Notices"] != 3.0 {
-		t.Errorf("counters %v", counters)
+		t.Errorf("counters %v, want 1 reload, 1 failed reload and 3 updates", counters)
 	}
 }
 
-// A configuration that is being written when SIGHUP comes is read again.
+// A configuration that is still being written when SIGHUP arrives is read again.
 func TestReloadWhileFileIsWritten(t *testing.T) {
 	previous, next := fakes.NewScriptedDiscovery(t, neverAnswerPoll), fakes.NewScriptedDiscovery(t, neverAnswerPoll)
 	f := startFrontEnd(t, previous.Addr, 1024, fakes.NewScriptedEngine(t, "s-1", replyOneRow))
--- a/internal/server/requestlog_test.go
+++ b/internal/server/requestlog_test.go
@@ -9,9 +9,9 @@
 	"dewhill/internal/dispatch"
 )
 
-// A line about a request names its attempts and why it ended; in an overload the rate
-// of lines is limited, a line says how many were suppressed, and the counters have
-// them all.
+// The log line of a request names its attempts and the reason for its outcome. The rate of
+// lines is limited, for example in an overload: one line reports the number of suppressed
+// lines, and the counters include every request.
 func TestRequestLog(t *testing.T) {
 	var lines []string
 	log := newRequestLog(func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) })
@@ -36,25 +36,26 @@
 		log.requestClosed(1000, dispatch.RequestClosed{Outcome: dispatch.Rejected, Reason: control.MissesObjective})
 	}
 	if len(lines) != maxLineBurst || log.counters.SuppressedLines != 9*maxLineBurst+1 {
-		t.Errorf("%d lines, %d suppressed", len(lines), log.counters.SuppressedLines)
+		t.Errorf("%d lines and %d suppressed, want %d and %d",
+			len(lines), log.counters.SuppressedLines, maxLineBurst, 9*maxLineBurst+1)
 	}
 	log.requestClosed(1200, failed)
 	if last := lines[len(lines)-2]; !strings.HasPrefix(last, fmt.Sprint(9*maxLineBurst+1, " lines")) {
-		t.Errorf("suppressed lines are reported as %q", last)
+		t.Errorf("line about suppressed lines: %q, want the number %d", last, 9*maxLineBurst+1)
 	}
 	const missesObjective, engineErrors = "would miss its aim", "errors from several engines"
 	c := log.counters
 	if c.Rejected[missesObjective] != 10*maxLineBurst || c.Failed[engineErrors] != 2 || c.Retries["error"] != 2 {
-		t.Errorf("counted %+v", c)
+		t.Errorf("counters %+v do not include all requests and retries", c)
 	}
 }
 
-// Every reason has a name of its own.
+// Each reason has a different name, as the names are keys of counters.
 func TestReasonsHaveNames(t *testing.T) {
 	seen := map[string]bool{}
 	for r := control.NoReason; r.String() != "unknown reason"; r++ {
 		if r.String() == "" || seen[r.String()] {
-			t.Errorf("reason %d is %q", r, r)
+			t.Errorf("reason %d has the empty or repeated name %q", r, r)
 		}
 		seen[r.String()] = true
 	}
--- a/internal/server/requests_program_test.go
+++ b/internal/server/requests_program_test.go
@@ -11,8 +11,8 @@
 	"dewhill/internal/fakes"
 )
 
-// Rows come through all pages of a result, in order and unchanged, and the statement
-// is forwarded as it came.
+// The response has the rows of all pages of a result, in order and unchanged, and the
+// statement is forwarded unchanged.
 func TestResultPagesInOrder(t *testing.T) {
 	pages := []string{"a\t1\tx\nb\t2\t\"<é>\\\n", "c\t3\t\n", "d\t\ty\n"}
 	e := fakes.NewScriptedEngine(t, "s-1", func(c fakes.Command) string {
@@ -28,22 +28,22 @@
 	for k := range 3 {
 		status, _, body := c.roundTrip(lookupMessage(k, statement))
 		if status != 200 || body.Poll != "" || fmt.Sprint(body.Page) != fmt.Sprint(want) {
-			t.Fatalf("status %d, %+v", status, body)
+			t.Fatalf("status %d, want 200 and the rows %q: %+v", status, want, body)
 		}
 	}
 	first := e.Attempts()[0]
 	sent := first.ID + " " + first.RawFields + " " + first.Statement
 	prefix, suffix := requestID(0)+" c=lookup,w=", ",nice=3 "+statement
 	if !strings.HasPrefix(sent, prefix) || !strings.HasSuffix(sent, suffix) {
-		t.Errorf("sent %q", sent)
+		t.Errorf("sent %q, want %q…%q", sent, prefix, suffix)
 	}
 	counters := f.process.Stop()["engines"].(map[string]any)
 	if counters["Pulls"] != 3.0 || counters["Scrolls"] != 6.0 || counters["Discards"] != 3.0 {
-		t.Errorf("counters %v", counters)
+		t.Errorf("counters %v, want 3 pulls, 6 scrolls and 3 discards", counters)
 	}
 }
 
-// malformedRequests are requests that must be rejected, with the status of each.
+// malformedRequests are requests that must be rejected, each with the expected status.
 var malformedRequests = []struct {
 	name, message string
 	status        int
@@ -76,12 +76,13 @@
 	{"unknown poll path", "GET /polls/" + requestID(1) + "/0 HTTP/1.1\r\n\r\n", 404},
 }
 
-// lookupWithHeader is a lookup with one more header.
+// lookupWithHeader returns a lookup with a header in place of Host.
 func lookupWithHeader(header string) string {
 	return strings.Replace(lookupMessage(9, "x"), "Host: x", header, 1)
 }
 
-// A malformed request gets a 4xx or 5xx and a close, and never reaches an engine.
+// A malformed request gets a 4xx or 5xx response, its connection is closed, and it never
+// reaches an engine.
 func TestMalformedRequests(t *testing.T) {
 	f, e := startWithEngine(t, replyNoRows)
 	for _, c := range malformedRequests {
@@ -97,11 +98,12 @@
 		})
 	}
 	if len(e.Attempts()) != 0 {
-		t.Errorf("the engine was sent %+v", e.Attempts())
+		t.Errorf("the engine received %+v", e.Attempts())
 	}
 }
 
-// An id that was accepted once is not accepted again, also after malformed requests.
+// A request id that was accepted is rejected when it is used again, also after malformed
+// requests.
 func TestDuplicateRequestID(t *testing.T) {
 	f, e := startWithEngine(t, replyNoRows)
 	for _, c := range malformedRequests {
@@ -115,7 +117,7 @@
 	}
 }
 
-// Loads of one key run one at a time, in the order in which they came.
+// Loads with the same key run one at a time, in the order in which they arrived.
 func TestLoadsOfOneKeyRunInOrder(t *testing.T) {
 	var mu sync.Mutex
 	running, maxRunning := 0, 0
@@ -146,12 +148,12 @@
 		c.expectStatus(200)
 	}
 	if maxRunning != 1 || strings.Join(order, " ") != strings.Join(want, " ") {
-		t.Errorf("%d at once, in the order %q", maxRunning, order)
+		t.Errorf("at most %d loads ran at once, in the order %q, want 1 and %q", maxRunning, order, want)
 	}
 }
 
-// A request that is sent ahead of the response to another is read after it, though
-// its bytes came while the first was open: the reader must wake for it.
+// Requests that arrive while the previous request of the connection is open are read after
+// its response: the reader must wake up for bytes that it received before.
 func TestPipelinedRequests(t *testing.T) {
 	g := newGate()
 	f, e := startWithEngine(t, g.reply)
--- a/internal/server/retry_program_test.go
+++ b/internal/server/retry_program_test.go
@@ -12,7 +12,7 @@
 	"dewhill/internal/fakes"
 )
 
-// mayHaveRunFailures are ends after which an attempt may have run.
+// mayHaveRunFailures are failures after which an attempt may have run.
 var mayHaveRunFailures = []struct {
 	name  string
 	reply fakes.Script
@@ -21,8 +21,8 @@
 	{"reset", resetConnection},
 }
 
-// A page that is lost costs an idempotent request nothing: no row has been written to
-// the client yet, and it is retried.
+// An idempotent request is retried if a page of its result is lost: no row has been written
+// to the client yet.
 func TestLostPageIsRetried(t *testing.T) {
 	for _, loss := range mayHaveRunFailures {
 		t.Run(loss.name, func(t *testing.T) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// A load that may have run is never sent again: its response is a failure and not a
-// rejection, and there is one.
+// A load that may have run is never sent again. Its client gets one response: a failure and
+// not a rejection.
 func TestLoadThatMayHaveRunIsNotRetried(t *testing.T) {
 	for _, loss := range mayHaveRunFailures {
 		t.Run(loss.name, func(t *testing.T) {
@@ -56,14 +56,14 @@
 			status, _, body := f.connect().roundTrip(keyed)
 			sent := len(a.Attempts()) + len(b.Attempts())
 			if status != 502 || body.Err == "" || body.Err == "Rejected" || sent != 1 {
-				t.Errorf("status %d, %+v, sent %d times", status, body, sent)
+				t.Errorf("status %d, %+v, sent %d times, want a failure with 502, sent once", status, body, sent)
 			}
 		})
 	}
 }
 
-// What provably never ran is retried elsewhere, and in the end rejected in time, with
-// a Retry-After.
+// A request that certainly did not run is retried at another engine. If every engine is
+// full, it is rejected before its deadline, with a retry delay.
 func TestRejectionAfterRetries(t *testing.T) {
 	a, b := fakes.NewScriptedEngine(t, "s-1", replyFull), fakes.NewScriptedEngine(t, "s-2", replyFull)
 	f := startFrontEnd(t, "", 1024, a, b)
@@ -76,24 +76,23 @@
 	}
 	for _, e := range []*fakes.Engine{a, b} {
 		if len(e.Attempts()) == 0 {
-			t.Errorf("engine %s was never tried", e.ID)
+			t.Errorf("engine %s received no attempt", e.ID)
 		}
 	}
 }
 
-// An unresponsive engine costs a load nothing but its deadline, and the response comes
-// before it.
+// A load at an unresponsive engine fails before its deadline, and its attempt is cancelled.
 func TestUnresponsiveEngine(t *testing.T) {
 	f, e := startWithEngine(t, neverReply)
 	f.connect().send(requestMessage("load", requestID(1), "Req-Wait-Ms: 700\r\n", "x")).expectError(504, "Deadline")
 	waitForCancels(t, 1, e)
 	if counters := f.process.Stop()["requests"].(map[string]any); counters["Late"] != 0.0 {
-		t.Errorf("counters %v", counters)
+		t.Errorf("late responses: counters %v", counters)
 	}
 }
 
-// A connection that never comes up costs a load no second run and no deadline:
-// nothing was written, so it is retried elsewhere.
+// If a connection can't be established, a load is retried at another engine within its
+// deadline: nothing was written, so it does not run twice.
 func TestConnectTimeout(t *testing.T) {
 	e := fakes.NewScriptedEngine(t, "s-1", replyOneRow)
 	f := startFrontEnd(t, "", 1024, e, &fakes.Engine{ID: "s-0", Addr: unreachableAddr(t)})
@@ -106,8 +105,8 @@
 	}
 }
 
-// unreachableAddr is an address whose connections never come up: its backlog is full,
-// and nobody accepts.
+// unreachableAddr returns an address at which connections are never established: its
+// backlog is full, and no process accepts from it.
 func unreachableAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
--- a/internal/server/settingscheck_test.go
+++ b/internal/server/settingscheck_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// editedConfig writes the golden configuration with one JSON text in place of another,
-// and returns its path.
+// editedConfig writes the golden configuration with one JSON text replaced by another, and
+// returns the path of the file.
 func editedConfig(t *testing.T, old, replacement string) string {
 	t.Helper()
 	for _, name := range []string{envName, envListen, envControlListen} {
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	if strings.Count(string(text), old) != 1 {
-		t.Fatalf("%s is %d times in the golden configuration", old, strings.Count(string(text), old))
+		t.Fatalf("%s occurs %d times in the golden configuration, want 1", old, strings.Count(string(text), old))
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(strings.Replace(string(text), old, replacement, 1)), 0o600); err != nil {
@@ -33,8 +33,9 @@
 	return path
 }
 
-// A setting that is out of range, of another type, or a word that is not known is an
-// error of one line that names it. It would turn a limit into something else.
+// A setting that is out of range, of the wrong type or an unknown enum value is rejected with
+// an error of one line that names it. If it were accepted, it would change the meaning of a
+// limit.
 func TestSettingsOutOfRange(t *testing.T) {
 	for _, c := range []struct{ old, replacement, want string }{
 		{`"tryLimit":5`, `"tryLimit":-1`, "limits.tryLimit: -1 is below 0"},
@@ -80,8 +81,8 @@
 	}
 }
 
-// Settings that are not known are passed over, at each level, as the platform may add
-// some; so are those that this program has no use for.
+// Unknown settings are ignored at each level, as the platform may add settings. Settings
+// that this program does not use are ignored too.
 func TestUnknownSettingsAreIgnored(t *testing.T) {
 	want, err := ReadConfig(filepath.Join("testdata", "compat", "config.json"))
 	if err != nil {
@@ -105,7 +106,7 @@
 	}
 }
 
-// What the settings leave out has the defaults of the protocol's pages.
+// Omitted settings have the defaults that the protocol's documentation states.
 func TestOmittedSettingsHaveDefaults(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := `{"seed":"1","listen":"127.0.0.1:0","board":"127.0.0.1:1",` +
@@ -121,10 +122,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectEqual(t, "connection time-out", connectTimeout(&c.Settings), toDuration(250))
+	expectEqual(t, "connect timeout", connectTimeout(&c.Settings), toDuration(250))
 	expectEqual(t, "probes, gossip, hedging", settings.CanProbe || settings.CanGossip || settings.CanHedge, false)
 	expectEqual(t, "priorities, grants, reports", settings.CanPrioritize || settings.CanGrantMemory ||
 		settings.LoadReportsInAnswers || settings.LoadReportsInProbes, false)
 	expectEqual(t, "status reports", settings.ProgressIntervalMS, 0.0)
-	expectEqual(t, "the endpoint list is asked for", settings.PollsEndpointList, false)
+	expectEqual(t, "endpoint list is polled", settings.PollsEndpointList, false)
 }
--- a/internal/server/shutdown_program_test.go
+++ b/internal/server/shutdown_program_test.go
@@ -12,8 +12,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// After SIGTERM requests that are open are finished, those that still come are served,
-// and the exit status is 0.
+// After SIGTERM open requests are finished, requests that still arrive are served, and the
+// exit status is 0.
 func TestGracefulShutdown(t *testing.T) {
 	g := newGate()
 	e1, e2 := fakes.NewScriptedEngine(t, "s-1", g.reply), fakes.NewScriptedEngine(t, "s-2", g.reply)
@@ -29,10 +29,10 @@
 	f.waitForExit()
 }
 
-// SIGTERM comes while one request is half read, while another is in flight with one
-// pipelined behind it, and before one on a connection that is closed by then: the
-// first two are answered, and the others never sent to an engine. Idle connections
-// are closed though requests are in flight.
+// SIGTERM arrives while one request is half read and another is in flight with a third
+// pipelined behind it, and before a fourth is sent on a connection that the front end has
+// closed by then. The first two get responses, and the others are never sent to an engine.
+// Idle connections are closed even though requests are in flight.
 func TestShutdownRaces(t *testing.T) {
 	g := newGate()
 	f, e := startWithEngine(t, g.reply)
@@ -45,16 +45,16 @@
 	pipelined.send(lookupMessage(2, "pipelined"))
 	message := lookupMessage(3, "half")
 	half.send(message[:len(message)-2])
-	f.waitForCounter(`"Connections":4`) // with that of the health check at the start
+	f.waitForCounter(`"Connections":4`) // including that of the health check at the start
 	f.process.Signal(syscall.SIGTERM)
 	idle.waitClosed()
 	idle.trySend(lookupMessage(4, "late"))
 	half.send(message[len(message)-2:])
 	g.open()
-	half.expectLastResponse("half read")
-	pipelined.expectLastResponse("with another behind it")
+	half.expectLastResponse("half-read request")
+	pipelined.expectLastResponse("request with another pipelined behind it")
 	if rest, err := io.ReadAll(pipelined.reader); err != nil || len(rest) > 0 {
-		t.Errorf("after the last response: %q, %v", rest, err)
+		t.Errorf("after the last response: %q, %v, want EOF", rest, err)
 	}
 	f.waitForExit()
 	if len(e.Attempts()) != 2 {
@@ -62,9 +62,9 @@
 	}
 }
 
-// What hangs at an engine, and what is queued behind it, is answered before the
-// platform may kill the process, whatever its deadline; a second signal and many
-// others change nothing.
+// A request that hangs at an engine and one that is queued behind it get a response before
+// the platform may kill the process, however late their deadlines are. A second SIGTERM and
+// many other signals change nothing.
 func TestShutdownDeadline(t *testing.T) {
 	f, e := startWithEngine(t, neverReply)
 	inFlight, queued := f.connect(), f.connect()
@@ -83,19 +83,19 @@
 	queued.expectError(503, "Rejected")
 	f.waitForExit()
 	if len(e.Attempts()) != 1 {
-		t.Errorf("%d requests at the engine", len(e.Attempts()))
+		t.Errorf("%d requests at the engine, want 1", len(e.Attempts()))
 	}
 }
 
-// SIGTERM while no endpoint list can be reached and before a client has come: the exit
-// status is 0.
+// SIGTERM arrives while the discovery service can't be reached and before any client has
+// connected: the exit status is 0.
 func TestShutdownBeforeFirstClient(t *testing.T) {
 	f := startFrontEnd(t, testprocess.FreeAddr(t), 1024)
 	f.process.Stop()
 }
 
-// Signals that come while the program starts, here while its configuration is being
-// read, end it in order or wait for their turn.
+// Signals that arrive while the program starts, here while its configuration is being read,
+// end it gracefully or are handled after the start.
 func TestSignalsDuringStartup(t *testing.T) {
 	f := startFrontEnd(t, "", 1024)
 	config := f.readConfig()
@@ -122,13 +122,13 @@
 	}
 	f.waitForExit()
 	if !strings.Contains(f.process.Log(), "graceful shutdown") {
-		t.Errorf("log %q", f.process.Log())
+		t.Errorf("no graceful shutdown in the log %q", f.process.Log())
 	}
 }
 
-// Nine in ten of many front ends that are restarted at once are ready within 10 s,
-// though no endpoint list can be reached and their addresses are still held by
-// processes that are ending.
+// Of many front ends that restart at once, nine in ten are ready within 10 s, even though
+// the discovery service can't be reached and their addresses are still in use by processes
+// that are shutting down.
 func TestManyRestartsAtOnce(t *testing.T) {
 	const (
 		count       = 10
@@ -139,7 +139,7 @@
 	var frontEnds []*frontEndProcess
 	for range count {
 		f := startFrontEnd(t, discovery, 256, e)
-		f.connect().send(loadMessage(1, "x")) // hangs: the process ends late
+		f.connect().send(loadMessage(1, "x")) // hangs and delays the end of the process
 		frontEnds = append(frontEnds, f)
 	}
 	waitForRequests(t, count, e)
@@ -160,6 +160,6 @@
 		}
 	}
 	if late > count/10 {
-		t.Errorf("%d of %d were not ready within %v", late, count, readyWithin)
+		t.Errorf("%d of %d front ends were not ready within %v", late, count, readyWithin)
 	}
 }
--- a/internal/server/subset_program_test.go
+++ b/internal/server/subset_program_test.go
@@ -11,16 +11,16 @@
 	"dewhill/internal/testprocess"
 )
 
-// A fleet of twelve front ends in front of twelve engines, of which the first four
-// run: each is to use its subset of the engines alone.
+// The fleet has twelve front ends and twelve engines. Only the first four front ends run, and
+// each must use only the engines of its subset.
 const (
 	fleetSize    = 12
 	engineCount  = 12
 	runningCount = 4
 )
 
-// selectedEngines are those that a front end is to use, as internal/subset selects
-// them.
+// selectedEngines returns the ids of the engines in a front end's subset, as
+// internal/subset selects them.
 func selectedEngines(index int, engines []*fakes.Engine) []string {
 	candidates := make([]subset.Engine, len(engines))
 	for i, e := range engines {
@@ -36,7 +36,8 @@
 	return ids
 }
 
-// enginesReached are the engines that were sent requests whose ids have a prefix.
+// enginesReached returns the ids of the engines that received requests whose ids have a
+// prefix.
 func enginesReached(engines []*fakes.Engine, idPrefix string) []string {
 	var reached []string
 	for _, e := range engines {
@@ -47,7 +48,7 @@
 	return reached
 }
 
-// requestLookups sends lookups whose ids have a prefix, and wants each served.
+// requestLookups sends lookups whose ids have a prefix, and checks that each is served.
 func requestLookups(t *testing.T, f *frontEndProcess, idPrefix string, count int) {
 	t.Helper()
 	c := f.connect()
@@ -59,15 +60,16 @@
 	}
 }
 
-// checkSubset sends requests to a front end and checks that they went to engines of
-// its subset alone. No two calls may have the same round and index.
+// checkSubset sends requests to a front end and checks that only engines of its subset
+// received them. Each call needs a different pair of round and index.
 func checkSubset(t *testing.T, f *frontEndProcess, round string, index int, engines []*fakes.Engine) {
 	t.Helper()
 	idPrefix := fmt.Sprintf("%s%x00", round, index) // ids are 16 hexadecimal digits
 	requestLookups(t, f, idPrefix, 40)
 	selected, reached := selectedEngines(index, engines), enginesReached(engines, idPrefix)
 	if len(selected) >= engineCount {
-		t.Fatalf("front end %d of %d is to use all %d engines: the fleet is too small to test", index, fleetSize, engineCount)
+		t.Fatalf("the subset of front end %d of %d has all %d engines: the fleet is too small for the test",
+			index, fleetSize, engineCount)
 	}
 	for _, id := range reached {
 		if !slices.Contains(selected, id) {
@@ -75,13 +77,13 @@
 		}
 	}
 	if len(reached) == 0 {
-		t.Errorf("%s: front end %d sent nothing", round, index)
+		t.Errorf("%s: front end %d sent no request to an engine", round, index)
 	}
 }
 
-// Most front ends are killed at once, and restarted with nothing but the list in their
-// configuration while no other can be reached: each still uses its own subset of the
-// engines, the same as before, and serves.
+// Most front ends are killed at once and restarted with only the endpoint list in their
+// configuration, as the discovery service can't be reached. Each serves requests, and uses
+// the same subset of the engines as before.
 func TestSubsetsAfterMassRestart(t *testing.T) {
 	engines := make([]*fakes.Engine, engineCount)
 	for i := range engines {
--- a/internal/server/unknownnames_test.go
+++ b/internal/server/unknownnames_test.go
@@ -7,17 +7,17 @@
 	"dewhill/internal/simproto"
 )
 
-// An engine of a zone or a kind that the settings don't name is listed all the same, under
-// an index that belongs to none: it is used, but not for classes that are kept to some.
+// An engine whose zone or kind is not in the settings is listed with index -1. It is used,
+// but not for classes that are restricted to certain zones or kinds.
 func TestEngineOfUnknownZoneAndKind(t *testing.T) {
 	cfg := &Config{Settings: simproto.Settings{Zones: []string{"here"}, EngineKinds: []string{"std"}}}
 	f := &platformFrontEnd{cfg: cfg}
 	known := f.engineInfo(&discovery.Endpoint{ID: "s-1", Zone: "here", Kind: "std", State: discovery.Active})
 	unknown := f.engineInfo(&discovery.Endpoint{ID: "s-2", Zone: "there", Kind: "later", State: discovery.Active})
 	if known.Zone != 0 || known.Kind != 0 {
-		t.Errorf("of a known zone and kind: %+v", known)
+		t.Errorf("engine of a known zone and kind: %+v", known)
 	}
 	if unknown.Zone != -1 || unknown.Kind != -1 || unknown.Removed || unknown.Draining {
-		t.Errorf("of an unknown zone and kind: %+v", unknown)
+		t.Errorf("engine of an unknown zone and kind: %+v", unknown)
 	}
 }
