--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -10,30 +10,30 @@
 	_ "dewhill/internal/testprocess" // fixes rapid's seed
 )
 
-// messageOf returns the message of a peer with demand for so much work and with
-// loads in flight.
+// messageOf returns the message of a peer with a demand of workMS of secondary work and
+// with loads in flight.
 func messageOf(workMS float64, loads ...Load) []byte {
-	l := New(MaxLoadGossipFleet, 0, true)
-	l.Start(-1e9, 0)
-	l.RecordDemand(workMS, -1)
-	return l.Encode(0, slices.Values(loads))
+	tracker := New(MaxLoadGossipFleet, 0, true)
+	tracker.Start(-1e9, 0)
+	tracker.RecordDemand(workMS, -1)
+	return tracker.Encode(0, slices.Values(loads))
 }
 
-// recordedFor returns the sum that Ledger takes for a steady demand after an uptime.
+// recordedFor returns the decaying sum that a steady demand gives after an uptime.
 func recordedFor(steadyDemand, uptimeMS float64) float64 {
 	return steadyDemand * (1 - math.Exp2(-uptimeMS/demandHalfLifeMS))
 }
 
-// The quota follows what peers broadcast; malformed messages and those of gateways
-// that are not of the fleet count for nothing, nor do peers that are silent.
+// The quota follows the demand that peers broadcast. Malformed messages, messages from
+// gateways outside the fleet and peers that have missed their broadcasts do not count.
 func TestQuotaFollowsPeerDemand(t *testing.T) {
-	l := New(4, 0, true)
-	l.Start(0, 0)
-	l.RecordDemand(recordedFor(300, 2000), -1)
-	if !l.QuotasAreEven(2000) {
-		t.Error("quotas differ before any message")
+	tracker := New(4, 0, true)
+	tracker.Start(0, 0)
+	tracker.RecordDemand(recordedFor(300, 2000), -1)
+	if !tracker.QuotasAreEven(2000) {
+		t.Error("quotas are not even before any message was received")
 	}
-	l.Receive(0, 1, messageOf(100))
+	tracker.Receive(0, 1, messageOf(100))
 	malformed := map[string][]byte{
 		"text":              []byte("odd"),
 		"not a number":      messageOf(math.NaN()),
@@ -45,101 +45,103 @@
 		"datagram with tag": {0xd1, 1, 0, 0},
 	}
 	for name, message := range malformed {
-		l.Receive(0, 2, message)
-		if _, ok := l.peers[2]; ok {
+		tracker.Receive(0, 2, message)
+		if _, ok := tracker.peers[2]; ok {
 			t.Errorf("%s: message was accepted", name)
 		}
 	}
-	for _, stranger := range []int{-1, 4} {
-		l.Receive(0, stranger, messageOf(100))
+	for _, outsider := range []int{-1, 4} {
+		tracker.Receive(0, outsider, messageOf(100))
 	}
-	if !l.QuotasAreEven(WarmUpMS - 1) {
-		t.Error("quotas differ just after the start")
+	if !tracker.QuotasAreEven(WarmUpMS - 1) {
+		t.Error("quotas are not even within WarmUpMS of the start")
 	}
-	if got := l.Quota(2000, 0.25); math.Abs(got-0.75) > 1e-9 {
-		t.Errorf("quota %v when all peers had to broadcast, want 0.75", got)
+	if got := tracker.Quota(2000, 0.25); math.Abs(got-0.75) > 1e-9 {
+		t.Errorf("quota %v after all peers were due to broadcast, want 0.75", got)
 	}
-	sent, err := decodeMessage(l.Encode(2000, slices.Values([]Load(nil))), 1)
+	sent, err := decodeMessage(tracker.Encode(2000, slices.Values([]Load(nil))), 1)
 	if err != nil || math.Abs(sent.demand[workIndex]-300) > 1e-3 {
-		t.Errorf("peers receive %v, %v, want 300", sent.demand, err)
+		t.Errorf("decoded demand %v, error %v, want 300", sent.demand, err)
 	}
-	if !l.BroadcastDue(7000, true) || !l.QuotasAreEven(7000) {
-		t.Error("a peer that has missed its broadcasts still counts")
+	if !tracker.BroadcastDue(7000, true) || !tracker.QuotasAreEven(7000) {
+		t.Error("no broadcast is due, or a peer that has missed its broadcasts still counts")
 	}
 }
 
-// While not all peers of a large fleet have broadcast, those not received yet count
-// like the others; those that the settled view calls dead don't.
+// While not all peers of a large fleet have broadcast, the others count with the mean
+// demand, except those that are dead by the settled view of the membership.
 func TestQuotaBeforeAllPeersBroadcast(t *testing.T) {
-	l := New(40, 0, true)
-	l.Start(0, 0)
+	tracker := New(40, 0, true)
+	tracker.Start(0, 0)
 	for i := range 19 {
-		l.Receive(0, 1+i, messageOf(100))
+		tracker.Receive(0, 1+i, messageOf(100))
 	}
-	l.RecordDemand(recordedFor(100, WarmUpMS), -1)
-	if got := l.Quota(WarmUpMS, 1.0/40); math.Abs(got-1.0/40) > 1e-9 {
-		t.Errorf("quota %v with 20 of 40 known, want 0.025", got)
+	tracker.RecordDemand(recordedFor(100, WarmUpMS), -1)
+	if got := tracker.Quota(WarmUpMS, 1.0/40); math.Abs(got-1.0/40) > 1e-9 {
+		t.Errorf("quota %v with the demand of 20 of 40 gateways, want 0.025", got)
 	}
-	l.SetAliveGateways(20)
-	if got := l.Quota(WarmUpMS, 1.0/20); math.Abs(got-1.0/20) > 1e-9 || l.AliveGateways() != 20 {
-		t.Errorf("quota %v with 20 of 40 alive, want 0.05", got)
+	tracker.SetAliveGateways(20)
+	if got := tracker.Quota(WarmUpMS, 1.0/20); math.Abs(got-1.0/20) > 1e-9 || tracker.AliveGateways() != 20 {
+		t.Errorf("quota %v with 20 of 40 gateways alive, want 0.05", got)
 	}
 }
 
-// A load of a peer is known until the peer's next message without it. A change of
-// loads is broadcast at once, in a small fleet only.
-func TestLoads(t *testing.T) {
+// A peer's load counts until the peer's next message without it, or until the state
+// expires. A change of loads is broadcast at once, in a small fleet only.
+func TestLoadGossip(t *testing.T) {
 	load := Load{7, 9}
-	l := New(2, 0, true)
-	l.Start(0, 1)
-	if l.BroadcastDue(1, false) {
-		t.Error("due though nothing has changed")
+	tracker := New(2, 0, true)
+	tracker.Start(0, 1)
+	if tracker.BroadcastDue(1, false) {
+		t.Error("a broadcast is due though nothing has changed")
 	}
-	l.LoadsChanged()
-	if !l.BroadcastDue(1, false) || l.BroadcastDue(1, false) {
-		t.Error("a change of loads must be due once")
+	tracker.LoadsChanged()
+	if !tracker.BroadcastDue(1, false) || tracker.BroadcastDue(1, false) {
+		t.Error("a change of loads must make exactly one broadcast due")
 	}
-	l.Receive(1, 1, messageOf(0, load))
-	if !l.RunsAtPeer(2, load) || l.RunsAtPeer(2, Load{7, 8}) || l.RunsAtPeer(1+l.expiryMS(), load) {
-		t.Error("loads are not those of the message")
+	tracker.Receive(1, 1, messageOf(0, load))
+	if !tracker.RunsAtPeer(2, load) || tracker.RunsAtPeer(2, Load{7, 8}) ||
+		tracker.RunsAtPeer(1+tracker.expiryMS(), load) {
+		t.Error("the loads are not those of the peer's message, or do not expire")
 	}
-	l.Receive(3, 1, messageOf(0))
-	if l.RunsAtPeer(3, load) {
-		t.Error("a load that has ended still counts")
+	tracker.Receive(3, 1, messageOf(0))
+	if tracker.RunsAtPeer(3, load) {
+		t.Error("a load that is missing from the peer's last message still counts")
 	}
 	many := slices.Repeat([]Load{load}, 100)
-	if n := len(l.Encode(0, slices.Values(many))); n > MaxMessageBytes {
-		t.Errorf("a message of %d bytes", n)
+	if n := len(tracker.Encode(0, slices.Values(many))); n > MaxMessageBytes {
+		t.Errorf("message of %d bytes, at most %d allowed", n, MaxMessageBytes)
 	}
 	large := New(MaxLoadGossipFleet+1, 0, true)
 	large.LoadsChanged()
 	if large.BroadcastDue(1, false) || len(large.Encode(1, slices.Values(many))) != demandBytes {
-		t.Error("a large fleet broadcasts loads")
+		t.Error("a gateway of a large fleet broadcasts its loads")
 	}
 }
 
-// A gateway of an older version reads these bytes.
+// The encoding of a message must not change: gateways of older versions decode it.
 func TestMessageBytes(t *testing.T) {
-	l := New(2, 1, true)
-	l.Start(-1e9, 0)
-	l.RecordDemand(1.5, 0)
+	tracker := New(2, 1, true)
+	tracker.Start(-1e9, 0)
+	tracker.RecordDemand(1.5, 0)
 	want := []byte{0x3f, 0xc0, 0, 0, 0x3f, 0x80, 0, 0, 0, 0, 0, 7, 0, 0, 0, 9}
-	if got := l.Encode(0, slices.Values([]Load{{7, 9}})); !slices.Equal(got, want) {
+	if got := tracker.Encode(0, slices.Values([]Load{{7, 9}})); !slices.Equal(got, want) {
 		t.Errorf("% x, want % x", got, want)
 	}
 }
 
-// Malformed messages never make a quota something other than a number, and never panic.
+// Arbitrary messages never cause a panic or a quota that is NaN or out of range.
 func TestReceiveArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New(3, 1, true)
-		l.Start(0, 0)
-		l.RecordDemand(1, 0)
+		tracker := New(3, 1, true)
+		tracker.Start(0, 0)
+		tracker.RecordDemand(1, 0)
 		for range 4 {
-			l.Receive(1, rapid.IntRange(-1, 3).Draw(t, "peer"), rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "message"))
+			peer := rapid.IntRange(-1, 3).Draw(t, "peer")
+			tracker.Receive(1, peer, rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "message"))
 		}
-		if quota := l.Quota(WarmUpMS, 1); !(quota >= 0 && quota <= 3) {
-			t.Fatalf("quota %v", quota)
+		if quota := tracker.Quota(WarmUpMS, 1); !(quota >= 0 && quota <= 3) {
+			t.Fatalf("quota %v, want 0 to 3", quota)
 		}
 	})
 }
--- a/internal/server/compat_config_test.go
+++ b/internal/server/compat_config_test.go
@@ -154,7 +154,7 @@
 	expectEqual(t, "zone", converted.Classes[1].IdempotencyScope, control.SameZone)
 	expectEqual(t, "cell", converted.Classes[2].IdempotencyScope, control.SameCell)
 	expectEqual(t, "ask", converted.PollsEndpointList, true)
-	expectEqual(t, "answers", converted.LoadReportsInAnswers && converted.LoadReportsInProbes, true)
+	expectEqual(t, "answers", converted.LoadReportsInReplies && converted.LoadReportsInProbes, true)
 }
 
 // checkNoneZero reports zero fields of the golden configuration: they were not read.
--- a/internal/server/compat_counters_test.go
+++ b/internal/server/compat_counters_test.go
@@ -144,7 +144,7 @@
 		DeadlineAtMS: arrivedAtMS + 60000,
 	}
 	query := dispatch.Query{Statement: []byte("x")}
-	if err := f.loop.Submit(openRequest, query, func(dispatch.Answer, any) {}); err != nil {
+	if err := f.loop.Submit(openRequest, query, func(dispatch.Response, any) {}); err != nil {
 		t.Fatal(err)
 	}
 	next := 0
--- a/internal/server/settingscheck_test.go
+++ b/internal/server/settingscheck_test.go
@@ -125,7 +125,7 @@
 	expectEqual(t, "connect timeout", connectTimeout(&c.Settings), toDuration(250))
 	expectEqual(t, "probes, gossip, hedging", settings.CanProbe || settings.CanGossip || settings.CanHedge, false)
 	expectEqual(t, "priorities, grants, reports", settings.CanPrioritize || settings.CanGrantMemory ||
-		settings.LoadReportsInAnswers || settings.LoadReportsInProbes, false)
+		settings.LoadReportsInReplies || settings.LoadReportsInProbes, false)
 	expectEqual(t, "status reports", settings.ProgressIntervalMS, 0.0)
 	expectEqual(t, "endpoint list is polled", settings.PollsEndpointList, false)
 }
--- a/internal/simproto/compat_test.go
+++ b/internal/simproto/compat_test.go
@@ -24,7 +24,7 @@
 	return string(text)
 }
 
-// compatRequests are the messages of the golden file.
+// compatRequests are the messages that the golden file decodes to.
 func compatRequests() []Message {
 	engines := []control.EngineInfo{
 		{ID: "h:1", Zone: 1, Kind: 2, Cell: 3, Size: 4.5, StartedAtMS: 40},
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestCompatRequests: the simulator writes these lines. Nothing here writes them.
+// The simulator writes the lines of the golden file; no code of this repository does.
 func TestCompatRequests(t *testing.T) {
 	want := compatRequests()
 	var d Decoder
@@ -87,12 +87,12 @@
 	for i, line := range lines {
 		got, err := d.Decode([]byte(line))
 		if err != nil || !reflect.DeepEqual(got, want[i]) {
-			t.Errorf("%sis %+v, %v\nwant %+v", line, got, err, want[i])
+			t.Errorf("%sdecoded %+v, error %v\nwant %+v", line, got, err, want[i])
 		}
 	}
 }
 
-// TestCompatReplies: the simulator reads these lines. Nothing here reads them.
+// The simulator reads the lines of the golden file; no code of this repository does.
 func TestCompatReplies(t *testing.T) {
 	var got []byte
 	for _, action := range []control.Action{
@@ -101,7 +101,7 @@
 		{Kind: control.RejectRequest, RequestID: "r1"},
 		{Kind: control.FailRequest, RequestID: "r1"},
 		{Kind: control.CancelAttempt, RequestID: "r1", Attempt: 2},
-		{Kind: control.SetTerms, RequestID: "r1", MemoryMB: 64.5, Priority: 2},
+		{Kind: control.SetResources, RequestID: "r1", MemoryMB: 64.5, Priority: 2},
 		{Kind: control.ProbeEngine, Engine: "h:1"},
 		{Kind: control.Broadcast, Message: []byte{0x3f, 0x80, 0, 0}},
 		{Kind: control.SetTimer, DelayMS: 25, Timer: "sweep"},
@@ -114,11 +114,11 @@
 	got = AppendCrash(got, 3, "oops")
 	got = AppendOK(got, 9007199254740993)
 	if want := goldenText(t, "replies.jsonl"); string(got) != want {
-		t.Errorf("replies are\n%sgolden\n%s", got, want)
+		t.Errorf("replies are\n%sgolden file\n%s", got, want)
 	}
 }
 
-// compatSettings are the settings of the golden file.
+// compatSettings are the settings that the golden file decodes to.
 func compatSettings() (s Settings) {
 	s.Classes = []Class{
 		{Name: "quick", LatencyObjectiveMS: 101, ObjectiveSlope: 1.5, DeadlineMS: 102, PriorityWeight: 103,
@@ -180,35 +180,35 @@
 	return s
 }
 
-// TestCompatSettings: the simulator and the configurations of installations have the
-// settings under these keys, each of which is in the golden file.
+// The simulator and the configurations of deployments use these keys of the settings.
+// The golden file contains each of them.
 func TestCompatSettings(t *testing.T) {
 	golden := goldenText(t, "settings.json")
 	want := compatSettings()
-	for _, path := range unset(reflect.ValueOf(want), "settings") {
+	for _, path := range zeroFields(reflect.ValueOf(want), "settings") {
 		t.Errorf("%s is not in the golden file", path)
 	}
 	var got Settings
 	decoder := json.NewDecoder(strings.NewReader(golden))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Fatalf("decoded\n%+v, %v, want\n%+v", got, err, want)
+		t.Fatalf("decoded\n%+v, error %v, want\n%+v", got, err, want)
 	}
 	again, err := json.MarshalIndent(&got, "", " ")
 	if err != nil || string(again)+"\n" != golden {
-		t.Errorf("encoded again\n%s, %v, golden\n%s", again, err, golden)
+		t.Errorf("encoded again\n%s, error %v, golden file\n%s", again, err, golden)
 	}
 }
 
-// unset names the fields at zero, also within lists.
-func unset(v reflect.Value, path string) (list []string) {
+// zeroFields returns the paths of the fields that are zero, including those in lists.
+func zeroFields(v reflect.Value, path string) (list []string) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if goldentest.IsAdded(v, v.Type().Field(i).Name) {
 				continue
 			}
-			list = append(list, unset(v.Field(i), path+"."+v.Type().Field(i).Name)...)
+			list = append(list, zeroFields(v.Field(i), path+"."+v.Type().Field(i).Name)...)
 		}
 	case reflect.Slice:
 		if v.Len() == 0 {
@@ -216,7 +216,7 @@
 		}
 		if v.Type().Elem().Kind() == reflect.Struct {
 			for i := range v.Len() {
-				list = append(list, unset(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
+				list = append(list, zeroFields(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
 			}
 		}
 	default:
@@ -227,8 +227,8 @@
 	return list
 }
 
-// TestCompatDecisions: each key means to the decisions what it meant, also when it
-// comes in the simulator's line.
+// Each key keeps its meaning for the decision logic, including in a line of the
+// simulator.
 func TestCompatDecisions(t *testing.T) {
 	class := func(c control.Class) control.Class {
 		c.OrderedByKey, c.Streaming = true, true
@@ -250,9 +250,9 @@
 				IdempotencyScope: control.AllEngines, IdempotencyWindowMS: 112, Zones: []int{6},
 				EngineKinds: []int{7}, Threads: 407, BlockedByLoads: true}),
 		},
-		EngineKinds:   []control.EngineKind{{Cores: 401, MemoryMB: 403}, {Cores: 402, MemoryMB: 404}},
-		Tenants:       []control.Tenant{{RequestsPerSecond: 301}, {RequestsPerSecond: 302}},
-		AnswerGraceMS: 201, DrainGraceMS: 202, OverloadMultiple: 203, OverloadWindowMS: 204,
+		EngineKinds:     []control.EngineKind{{Cores: 401, MemoryMB: 403}, {Cores: 402, MemoryMB: 404}},
+		Tenants:         []control.Tenant{{RequestsPerSecond: 301}, {RequestsPerSecond: 302}},
+		ResponseGraceMS: 201, DrainGraceMS: 202, OverloadMultiple: 203, OverloadWindowMS: 204,
 		SlowStartInitialFraction: 0.205, SlowStartWindowMS: 206, EndpointListMaxAgeMS: 207,
 		KeySettleMS: 208, RetryBudgetBase: 209, RetryBudgetPerRequest: 0.21, RetryBudgetWindowMS: 211,
 		MaxAttempts: 506, MaxOpenRequests: 503,
@@ -260,7 +260,7 @@
 		SendsRetryAfter: true, MaxRetryAfterMS: 505,
 		CanPrioritize: true, CanGrantMemory: true, MaxMemoryGrant: 0.408, EnginesReportCost: true,
 		ProgressIntervalMS: 409, OverQuotaWeight: 0.602,
-		LoadReportsInAnswers: true, LoadReportsInProbes: true,
+		LoadReportsInReplies: true, LoadReportsInProbes: true,
 	}
 	var env bytes.Buffer
 	if err := json.Compact(&env, []byte(goldenText(t, "settings.json"))); err != nil {
@@ -269,14 +269,14 @@
 	var d Decoder
 	got, err := d.Decode([]byte(`{"t":"ENLIST","who":1,"initSeed":2,"env":` + env.String() + "}\n"))
 	if err != nil || !reflect.DeepEqual(got, StartInstance{Instance: 1, Seed: 2, Settings: want}) {
-		t.Errorf("%v, message\n%+v, want settings\n%+v", err, got, want)
+		t.Errorf("error %v, message\n%+v, want settings\n%+v", err, got, want)
 	}
 	for via, want := range map[string][2]bool{"answers": {true, true}, "probe": {false, true}, "": {false, false}} {
 		s := Settings{}
 		s.Reporting.Via = via
 		got, err := s.Control()
-		if err != nil || got.LoadReportsInAnswers != want[0] || got.LoadReportsInProbes != want[1] {
-			t.Errorf("reporting via %q: %+v, %v", via, got, err)
+		if err != nil || got.LoadReportsInReplies != want[0] || got.LoadReportsInProbes != want[1] {
+			t.Errorf("reporting via %q: %+v, error %v", via, got, err)
 		}
 	}
 }
--- a/internal/simproto/encode_test.go
+++ b/internal/simproto/encode_test.go
@@ -28,7 +28,7 @@
 			`{"t":"REVOKE","who":3,"ref":"r","sendNo":0}`,
 		},
 		{
-			control.Action{Kind: control.SetTerms, RequestID: "r", MemoryMB: 64, Priority: 2},
+			control.Action{Kind: control.SetResources, RequestID: "r", MemoryMB: 64, Priority: 2},
 			`{"t":"ALLOT","who":3,"ref":"r","memoryGrant":64,"lane":2}`,
 		},
 		{
@@ -68,7 +68,7 @@
 func TestAppendUnknownAction(t *testing.T) {
 	defer func() {
 		if recover() == nil {
-			t.Error("an action of unknown kind was encoded")
+			t.Error("AppendAction did not panic on an action of unknown kind")
 		}
 	}()
 	AppendAction(nil, 3, &control.Action{Kind: -1})
