--- a/internal/discovery/compat_test.go
+++ b/internal/discovery/compat_test.go
@@ -14,12 +14,13 @@
 	"dewhill/internal/lineproto"
 )
 
-// shortRequestTimeout ends the wait for a request shorter than the golden one.
+// shortRequestTimeout limits the wait for a request that is shorter than the golden
+// request.
 const shortRequestTimeout = 5 * time.Second
 
-// TestCompatPoll holds the discovery service's form: the golden request, and golden
-// updates with a snapshot, an event of another kind, and a change, with a stated
-// length or in chunks.
+// TestCompatPoll checks the messages to and from the discovery service against golden
+// files: a request, and updates with a snapshot, an event of another kind and a change.
+// The updates are sent with a Content-Length and in chunks.
 func TestCompatPoll(t *testing.T) {
 	request := golden(t, "poll.txt")
 	body := bytes.TrimSuffix(golden(t, "notices.json"), []byte("\n"))
@@ -33,22 +34,22 @@
 			{ID: "s-2", Address: "10.1.0.10:5050", Zone: "west", Kind: "small", Cell: 3, State: Removed, Size: 0.5, StartedAtMS: 1700000000456},
 		}}},
 	}}
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"stated length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body),
 		"chunks": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n",
 			10, body[:10], len(body)-10, body[10:]),
 	} {
-		here, there := net.Pipe()
+		clientSide, serverSide := net.Pipe()
 		polled := make(chan []byte, 1)
 		go func() {
-			// A request that is too short must not wait for the rest of it.
-			_ = there.SetReadDeadline(time.Now().Add(shortRequestTimeout))
+			// Without a deadline, a request that is too short would block the test.
+			_ = serverSide.SetReadDeadline(time.Now().Add(shortRequestTimeout))
 			got := make([]byte, len(request))
-			n, _ := io.ReadFull(there, got)
+			n, _ := io.ReadFull(serverSide, got)
 			polled <- got[:n]
-			_, _ = io.WriteString(there, answer)
+			_, _ = io.WriteString(serverSide, response)
 		}()
-		updates, err := poll(here, lineproto.New(here, 16<<10), "10.1.0.1:9000", 40, time.Minute)
+		updates, err := poll(clientSide, lineproto.New(clientSide, 16<<10), "10.1.0.1:9000", 40, time.Minute)
 		if got := <-polled; !bytes.Equal(got, request) {
 			t.Errorf("%s: polled with\n%q\nwant\n%q", name, got, request)
 		}
@@ -57,17 +58,17 @@
 			continue
 		}
 		if err := updates.Validate(); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: golden updates are invalid: %v", name, err)
 		}
-		again, err := json.Marshal(updates)
-		if err != nil || !bytes.Equal(again, body) {
-			t.Errorf("%s: written again %s, %v", name, again, err)
+		encoded, err := json.Marshal(updates)
+		if err != nil || !bytes.Equal(encoded, body) {
+			t.Errorf("%s: encoded as %s, %v", name, encoded, err)
 		}
-		_ = here.Close()
+		_ = clientSide.Close()
 	}
 }
 
-// TestCompatStates holds the service's names of an endpoint's state.
+// TestCompatStates checks the service's names for the states of an endpoint.
 func TestCompatStates(t *testing.T) {
 	for state, want := range map[State]string{Active: "active", Draining: "leaving", Removed: "left"} {
 		if string(state) != want {
--- a/internal/httpfront/accept_test.go
+++ b/internal/httpfront/accept_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// shortListener is a listener of a process that is out of descriptors for so many
-// accepts, and is closed then.
-type shortListener struct {
+// failingListener fails a number of accepts with EMFILE, as in a process that is out
+// of descriptors, and then reports that it is closed.
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
-func (l *shortListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures == 0 {
 		return nil, net.ErrClosed
 	}
@@ -22,16 +22,16 @@
 }
 
 // TestFailedAcceptsEvict checks that each failed accept is counted and evicts a
-// connection, and that the listener's close does neither.
+// connection, and that the close of the listener does neither.
 func TestFailedAcceptsEvict(t *testing.T) {
 	loop, server, dial := newFakeServer()
 	for range 3 {
 		dial()
 	}
 	loop.now += evictableAfterMS + 1
-	server.Serve(&shortListener{failures: 2})
+	server.Serve(&failingListener{failures: 2})
 	if server.Counters.AcceptErrors != 2 || server.Counters.Evicted != 2 || len(server.connections) != 1 {
-		t.Errorf("%d accept errors, %d evicted, %d connections",
+		t.Errorf("%d accept errors, %d evicted, %d connections left; want 2, 2, 1",
 			server.Counters.AcceptErrors, server.Counters.Evicted, len(server.connections))
 	}
 }
--- a/internal/server/peers_test.go
+++ b/internal/server/peers_test.go
@@ -40,7 +40,7 @@
 			if larger := transport.MaxDatagramBytes > peer.MaxDatagramBytes; larger != on {
 				t.Errorf("datagrams of up to %d bytes, cluster on: %v", transport.MaxDatagramBytes, on)
 			}
-			if transport.AcceptStrangers {
+			if transport.AcceptUnlisted {
 				t.Error("datagrams from unlisted senders are accepted")
 			}
 		})
