--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -21,7 +21,7 @@
 // milliseconds of one core.
 //
 // events.go and effects.go are the interface. dispatcher.go applies events, request.go
-// has the state of requests, attempt.go starts and ends their attempts, answer.go ends
+// has the state of requests, attempt.go starts and ends their attempts, response.go ends
 // requests, timers.go schedules deadlines and the timers of the decision logic, and
-// decisions.go translates to and from package control. load.go counts open requests.
+// decisions.go translates to and from package control. opencounts.go counts open requests.
 package dispatch
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -59,7 +59,7 @@
 //   - options.go: options, protocol times and their defaults
 //   - register.go: writes, their causality and the merge rule
 //   - writes.go: writes of this front end, until all members have acknowledged them
-//   - learn.go: writes received from other members, merged and forwarded
+//   - entries.go: writes received from other members, merged and forwarded
 //   - catchup.go: the conditions under which a restarted replica is ready
 //   - antientropy.go: comparison of copies with other members
 //   - messages.go: dispatch of received messages, and sending
