--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -121,13 +121,13 @@
 func (g *Gateway) recountEngines() {
 	g.ejectionBalance = 0
 	for _, e := range g.engines {
-		e.limit.listedCores = 0
+		e.limit.availableCores = 0
 	}
 	for _, e := range g.engines {
 		if !e.listing.available {
 			continue
 		}
-		e.limit.listedCores += e.cores
+		e.limit.availableCores += e.cores
 		if e.health.ejected {
 			g.ejectionBalance++
 		} else {
--- a/control/threadlimit.go
+++ b/control/threadlimit.go
@@ -39,11 +39,11 @@
 // shared limit stands for the threads of all gateways on an engine and is compared with
 // load reports.
 type threadLimit struct {
-	threads     int     // C, the limit
-	errorSumMS  float64 // E, the integral of objective minus latency
-	interval    controlInterval
-	dashboards  dashboardRate
-	listedCores float64 // cores of the available engines under this limit
+	threads        int     // C, the limit
+	errorSumMS     float64 // E, the integral of objective minus latency
+	interval       controlInterval
+	dashboards     dashboardRate
+	availableCores float64 // cores of the available engines under this limit
 }
 
 // controlInterval holds the samples since the limit was last updated.
@@ -202,7 +202,7 @@
 // objective, all of them finish late and are retried. The limit is at least this
 // gateway's quota of the engine's cores.
 func (g *Gateway) dashboardConcurrencyLimit(c *class, e *engine) float64 {
-	quota := e.limit.listedCores * g.engineQuota(e)
+	quota := e.limit.availableCores * g.engineQuota(e)
 	sustainable := e.limit.dashboards.threadsPerMS * c.LatencyObjectiveMS * objectiveUtilization
 	limit := max(quota, sustainable)
 	if e.sharesThreadLimit {
--- a/internal/cluster/adminjson.go
+++ b/internal/cluster/adminjson.go
@@ -93,7 +93,7 @@
 		Self:        c.identity.Name,
 		Incarnation: view.Incarnation(),
 		Converged:   view.Converged(),
-		Quorum:      view.SeesQuorum(),
+		Quorum:      view.HasQuorum(),
 		Digest:      formatDigest(view.Digest()),
 		Members:     members,
 	})
--- a/internal/haproxy/build.go
+++ b/internal/haproxy/build.go
@@ -201,7 +201,7 @@
 	s.Domain.Threads = []int{1, 2}
 	s.Domain.IsLoad = []bool{false, false}
 	s.Domain.BlockedByLoads = []bool{false, false}
-	s.Contract.AnswerGraceMS = 20
+	s.Contract.ResponseGraceMS = 20
 	s.Contract.DrainGraceMS = 500
 	s.Limits.CanCancel = true
 	s.Limits.SendsRetryAfter = true
--- a/internal/membership/damper.go
+++ b/internal/membership/damper.go
@@ -62,7 +62,7 @@
 // members have changed. It must be called about once a second.
 func (d *Damper) Observe(nowMS float64, v *View) (changed bool) {
 	converged := v.Converged()
-	quorum := v.SeesQuorum()
+	quorum := v.HasQuorum()
 	for i := range d.flaps {
 		flap := &d.flaps[i]
 		state := v.State(i)
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -134,9 +134,9 @@
 	return len(v.ring)
 }
 
-// SeesQuorum reports whether more than half of the fleet, including this front end,
+// HasQuorum reports whether more than half of the fleet, including this front end,
 // is alive or suspect in this view.
-func (v *View) SeesQuorum() bool { return 2*(len(v.live)+1) > v.Size() }
+func (v *View) HasQuorum() bool { return 2*(len(v.live)+1) > v.Size() }
 
 // Incarnation returns this front end's own incarnation.
 func (v *View) Incarnation() uint32 { return v.self.Incarnation }
--- a/internal/membershipsim/simulation_test.go
+++ b/internal/membershipsim/simulation_test.go
@@ -109,7 +109,7 @@
 	if n := len(s.Views[1].Members()); n != size-5 {
 		t.Errorf("a side of %d has %d members at the end of the partition: the other side was not forgotten", size-5, n)
 	}
-	if s.Views[0].SeesQuorum() || !s.Views[1].SeesQuorum() {
+	if s.Views[0].HasQuorum() || !s.Views[1].HasQuorum() {
 		t.Error("the smaller side sees a quorum, or the larger side does not")
 	}
 	s.Run(160_000)
--- a/internal/server/compat_config_test.go
+++ b/internal/server/compat_config_test.go
@@ -93,7 +93,7 @@
 			IdempotencyWindowMS: 5300, OrderedByKey: true, Streaming: true, Zones: []int{3}, EngineKinds: []int{3},
 		},
 	})
-	expectEqual(t, "contract.graceToAnswerMs", s.Contract.AnswerGraceMS, 21.0)
+	expectEqual(t, "contract.graceToAnswerMs", s.Contract.ResponseGraceMS, 21.0)
 	expectEqual(t, "contract.stopSendingWithinMs", s.Contract.DrainGraceMS, 501.0)
 	expectEqual(t, "contract.fallMultiple", s.Contract.OverloadMultiple, 2.5)
 	expectEqual(t, "contract.fallMs", s.Contract.OverloadWindowMS, 1001.0)
--- a/internal/simproto/compat_test.go
+++ b/internal/simproto/compat_test.go
@@ -132,7 +132,7 @@
 			LateWeight: 0.5, Idempotency: "side_effect", IdempotencyScope: "all",
 			IdempotencyWindowMS: 112, OrderedByKey: true, Streaming: true, Zones: []int{6}, EngineKinds: []int{7}},
 	}
-	s.Contract.AnswerGraceMS = 201
+	s.Contract.ResponseGraceMS = 201
 	s.Contract.DrainGraceMS = 202
 	s.Contract.OverloadMultiple = 203
 	s.Contract.OverloadWindowMS = 204
--- a/internal/simproto/encode.go
+++ b/internal/simproto/encode.go
@@ -29,7 +29,7 @@
 		line = appendString(line, keyRequestID, action.RequestID)
 		line = appendNumber(line, keyAttempt, float64(action.Attempt))
 	case control.SetResources:
-		line = appendHeader(line, verbSetTerms, instance)
+		line = appendHeader(line, verbSetResources, instance)
 		line = appendString(line, keyRequestID, action.RequestID)
 		line = appendNumber(line, keyMemoryMB, action.MemoryMB)
 		line = appendNumber(line, keyPriority, float64(action.Priority))
--- a/internal/simproto/protocol.go
+++ b/internal/simproto/protocol.go
@@ -46,7 +46,7 @@
 	verbRejectRequest  verb = "DECLINE"
 	verbFailRequest    verb = "SURRENDER"
 	verbCancelAttempt  verb = "REVOKE"
-	verbSetTerms       verb = "ALLOT"
+	verbSetResources   verb = "ALLOT"
 	verbProbeEngine    verb = "ASK_LOAD"
 	verbBroadcast      verb = "TELL"
 	verbSetTimer       verb = "SLEEP"
--- a/internal/simproto/settings.go
+++ b/internal/simproto/settings.go
@@ -47,7 +47,7 @@
 // Contract has the limits that gateways must keep towards clients and engines. See
 // control.Settings.
 type Contract struct {
-	AnswerGraceMS            float64 `json:"graceToAnswerMs"`
+	ResponseGraceMS          float64 `json:"graceToAnswerMs"`
 	DrainGraceMS             float64 `json:"stopSendingWithinMs"`
 	OverloadMultiple         float64 `json:"fallMultiple"`
 	OverloadWindowMS         float64 `json:"fallMs"`
@@ -135,7 +135,7 @@
 		GatewayCount:             s.GatewayCount,
 		Zone:                     s.Zone,
 		TickMS:                   s.TickMS,
-		ResponseGraceMS:          s.Contract.AnswerGraceMS,
+		ResponseGraceMS:          s.Contract.ResponseGraceMS,
 		DrainGraceMS:             s.Contract.DrainGraceMS,
 		OverloadMultiple:         s.Contract.OverloadMultiple,
 		OverloadWindowMS:         s.Contract.OverloadWindowMS,
