--- a/internal/lease/events.go
+++ b/internal/lease/events.go
@@ -27,7 +27,7 @@
 	// MembersChanged replaces the view of the fleet.
 	MembersChanged membership.Roster
 	// AcquireRequest asks whether this front end may run a load. The manager returns
-	// a Decision with the same ticket, by the deadline at the latest.
+	// a Decision with the same RequestID, by the deadline at the latest.
 	AcquireRequest struct {
 		Key         Key
 		Fingerprint uint64 // hash of the load's content
--- a/internal/lease/fleet_test.go
+++ b/internal/lease/fleet_test.go
@@ -26,7 +26,7 @@
 	intercept     func(from, to int, msg []byte) bool // true: the message is lost
 	disks         []map[string][]byte                 // nil: the front end has no disk
 	timers        []*virtualclock.Timer
-	waiting       map[uint64]func(Decision) // by ticket
+	waiting       map[uint64]func(Decision) // by request ID
 	lastRequestID uint64
 	runs          map[Key][]string // names of the attempts that ran a load
 	grantMS       []float64        // latencies of grants
@@ -205,7 +205,7 @@
 }
 
 // request requests a lease from a front end and runs the fleet for runMS. If there is
-// no decision by then, the returned decision's ticket is 0.
+// no decision by then, the returned decision's RequestID is 0.
 func (f *fleet) request(i int, request AcquireRequest, timeoutMS, runMS float64) (decision Decision) {
 	f.lastRequestID++
 	f.waiting[f.lastRequestID] = func(got Decision) { decision = got }
--- a/internal/membershipsim/simulation_test.go
+++ b/internal/membershipsim/simulation_test.go
@@ -110,7 +110,7 @@
 		t.Errorf("a side of %d has %d members at the end of the partition: the other side was not forgotten", size-5, n)
 	}
 	if s.Views[0].HasQuorum() || !s.Views[1].HasQuorum() {
-		t.Error("the smaller side sees a quorum, or the larger side does not")
+		t.Error("the smaller side has a quorum, or the larger side does not")
 	}
 	s.Run(160_000)
 	if got := awaitConvergence(s, 30_000); got.mismatch != "" {
--- a/internal/subset/options.go
+++ b/internal/subset/options.go
@@ -40,7 +40,7 @@
 		return Options{}, fmt.Errorf("%s: %w %q", name, errUnknownKey, unknown[0].String())
 	}
 	if metadata.IsDefined("per_front") && (options.Size < 0 || options.Size > MaxSize) {
-		return Options{}, fmt.Errorf("%s: per_front is %d, wants 0 to %d", name, options.Size, MaxSize)
+		return Options{}, fmt.Errorf("%s: per_front is %d, must be 0 to %d", name, options.Size, MaxSize)
 	}
 	return options, nil
 }
--- a/internal/subset/options_test.go
+++ b/internal/subset/options_test.go
@@ -19,7 +19,7 @@
 		{"size", "per_front = 4\n", "", 4},
 		{"off", "per_front = 0\n", "", 0},
 		{"negative", "\nper_front = -1\n", "per_front is -1", 0},
-		{"too large", "per_front = 65\n", "wants 0 to 64", 0},
+		{"too large", "per_front = 65\n", "must be 0 to 64", 0},
 		{"unknown key", "per_fornt = 4\n", `unknown key "per_fornt"`, 0},
 		{"malformed line", "# a comment\nper_front = = 4\n", "fleet.toml: line 2:", 0},
 		{"wrong type", "per_front = \"six\"\n", "fleet.toml", 0},
