--- a/control/action.go
+++ b/control/action.go
@@ -6,12 +6,12 @@
 // The kinds of actions, each with the fields that it uses.
 const (
 	StartAttempt   ActionKind = iota // RequestID, Engine, DeadlineAtMS
-	RejectRequest                    // RequestID, RetryAfterMS, Reason: the client may safely try again
+	RejectRequest                    // RequestID, RetryAfterMS, Reason: the client may safely repeat it
 	FailRequest                      // RequestID, Reason: an attempt may have run
 	CancelAttempt                    // RequestID, Attempt, Reason
 	SetResources                     // RequestID, MemoryMB, Priority
 	ProbeEngine                      // Engine
-	Broadcast                        // Message, to all other gateways
+	Broadcast                        // Message, to all peers
 	SetTimer                         // DelayMS, Timer
 	WatchEndpoints                   // request the endpoint list and its updates
 	WriteLog                         // Log
@@ -23,7 +23,7 @@
 	RequestID    string
 	Engine       string
 	DeadlineAtMS float64
-	RetryAfterMS float64 // time that the client should wait before it tries again; 0: not specified
+	RetryAfterMS float64 // time that the client should wait before it retries; 0: not specified
 	DelayMS      float64 // time until the timer fires
 	Attempt      int     // index among the request's attempts
 	MemoryMB     float64
--- a/control/affinity.go
+++ b/control/affinity.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	preferredEnginesSharedLimit = 2    // per data set; on a third engine its data would not stay cached
+	preferredEnginesSharedLimit = 2    // per data set; on a third engine the data would not stay cached
 	restrictedEngineWeight      = 0.2  // factor on the weight of an engine that some class is restricted to
 	maxDatasets                 = 4096 // with cached values: clients may name any number of data sets
 )
 
-// engineAffinity ranks an engine for each data set.
+// engineAffinity holds the scores that rank an engine for each data set.
 type engineAffinity struct {
 	weight float64
 	scores map[int]float64 // by data set, cached
@@ -90,8 +90,7 @@
 	}
 }
 
-// hash returns a hash of an engine's id and another number. It is the same on every
-// gateway.
+// hash returns a hash of an engine's ID and a number. It is the same on every gateway.
 func hash(id string, x float64) uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, x, id) // writes to a hash never fail
--- a/control/affinity_test.go
+++ b/control/affinity_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Requests that read one data set go to few engines where gateways share thread limits.
+// Where engines share a thread limit, requests that read one data set go to few engines.
 func TestReadersKeepToPreferredEngines(t *testing.T) {
 	tr := newScenario(t, manyGateways(), engines("a", "b", "c", "d", "e", "f", "g", "h", "i")...)
 	for i := range 40 {
--- a/control/attempt.go
+++ b/control/attempt.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	lightLoadThreadsPerCore = 0.25 // threads of this gateway up to which an engine counts as lightly loaded
+	lightLoadThreadsPerCore = 0.25 // of this gateway; up to this an engine counts as lightly loaded
 	dashboardPriority       = 3    // the highest; other work keeps the engine's default priority of 1
 	idempotencyMarginTicks  = 2    // ticks by which idempotency windows are shortened as a safety margin
 )
@@ -108,8 +108,9 @@
 	}
 }
 
-// handleAttemptEnd records the outcome of an attempt, and then queues the request
-// again or ends it if need be. A second outcome of the same attempt is ignored.
+// handleAttemptEnd records the outcome of an attempt. If the request is still open and has
+// no other attempt in flight, it is queued again or ended. A second outcome of the same
+// attempt is ignored.
 func (g *Gateway) handleAttemptEnd(ev Event) {
 	r, a := g.findAttempt(ev)
 	if a == nil || !a.inFlight {
@@ -139,7 +140,8 @@
 	}
 }
 
-// mayStillRun reports whether an attempt may still be running after its outcome.
+// mayStillRun reports whether an attempt with this result may still be running on its
+// engine.
 func mayStillRun(result Result) bool {
 	return !result.neverRan() && result != Served && result != Errored
 }
@@ -166,8 +168,8 @@
 	}
 }
 
-// retryOrEnd queues an open request again, or ends it if no further attempt is
-// allowed.
+// retryOrEnd queues an open request again, or ends it if the rules forbid another attempt
+// or the attempt could not end by the deadline.
 func (g *Gateway) retryOrEnd(r *request) {
 	if barrier := g.retryBarrier(r); barrier != NoReason {
 		g.endRequest(r, barrier)
@@ -180,7 +182,7 @@
 	g.enqueue(r)
 }
 
-// endRequest gives the final answer to an open request: it rejects the request if the
+// endRequest gives the final response to an open request: it rejects the request if the
 // client may safely send it again, and fails it otherwise. All rejections and failures
 // are issued here.
 func (g *Gateway) endRequest(r *request, reason Reason) {
@@ -188,17 +190,17 @@
 		return
 	}
 	r.closed = true
-	answer := Action{Kind: FailRequest, RequestID: r.id, Reason: reason}
+	response := Action{Kind: FailRequest, RequestID: r.id, Reason: reason}
 	if r.isSafeToResend() {
-		answer.Kind = RejectRequest
+		response.Kind = RejectRequest
 		if g.settings.SendsRetryAfter {
-			answer.RetryAfterMS = min(g.settings.MaxRetryAfterMS, retryAfterMS)
+			response.RetryAfterMS = min(g.settings.MaxRetryAfterMS, retryAfterMS)
 		}
 	}
-	g.emit(answer)
+	g.emit(response)
 }
 
-// isSafeToResend reports whether a client may safely send the request again, to any
+// isSafeToResend reports whether the client may safely send the request again, to any
 // gateway.
 func (r *request) isSafeToResend() bool {
 	if !r.mayHaveRun() {
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -78,7 +78,7 @@
 }
 
 // disableEngine sets an administrative override: the engine is not used, even if
-// the endpoint list has it as active.
+// the endpoint list shows it as active.
 func (g *Gateway) disableEngine(id string) {
 	if _, disabled := g.disabledSinceMS[id]; disabled {
 		return
@@ -137,7 +137,7 @@
 }
 
 // EngineCounts returns the number of engines in the endpoint list, and how many of
-// them get no requests because they are draining, disabled or ejected.
+// them receive no requests because they are draining, disabled or ejected.
 func (g *Gateway) EngineCounts() (listed, outOfService int) {
 	for _, e := range g.engines {
 		if !e.listing.present {
--- a/control/engine.go
+++ b/control/engine.go
@@ -26,7 +26,7 @@
 	lightLoadLatencyMS *runningMean // of its kind
 }
 
-// engineListing is the state of an engine by the endpoint list and the overrides.
+// engineListing is the state of an engine according to the endpoint list and the overrides.
 type engineListing struct {
 	present         bool // in the endpoint list
 	available       bool // present, not draining, and not disabled
@@ -39,7 +39,7 @@
 	secondaryThreads int   // of this gateway's attempts
 	datasetsLoading  []int // data sets of this gateway's loads in flight
 
-	reportedThreads    float64 // of all gateways, by the last load report
+	reportedThreads    float64 // of all gateways, from the last load report
 	reportedAtMS       float64
 	threadsSinceReport float64 // of the attempts that this gateway started after that report
 }
@@ -67,8 +67,8 @@
 	return e
 }
 
-// addThreads adds the threads of an attempt that has started to the load. When an
-// attempt ends, the caller passes the negative number.
+// addThreads adds the threads of a started attempt to those in flight of its class and
+// engine. When an attempt ends, the caller passes the negative number.
 func (e *engine) addThreads(c *class, threads int) {
 	c.threadsInFlight += threads
 	if c.isDashboard {
--- a/control/estimate.go
+++ b/control/estimate.go
@@ -5,10 +5,11 @@
 const (
 	minSampleWeight = 0.05 // of a new sample in a running mean: about the last 20 samples count
 
-	initialSlowdown  = 1.5 // until there are samples
-	initialDeviation = 0.4
+	initialSlowdown  = 1.5 // counts as the first sample
+	initialDeviation = 0.4 // counts as the first sample
 	maxSampleFactor  = 4.0 // a slowdown sample is limited to this multiple of the mean
 
+	// Limits on a sample of a class's estimate bias.
 	minEstimateBias = 0.1
 	maxEstimateBias = 10
 
@@ -40,8 +41,8 @@
 	slowdownDeviation   runningMean // mean deviation from slowdown, as a fraction of it
 	totalAttemptMS      float64     // sum of the durations of attempts
 	totalThreadMS       float64     // sum of their thread times
-	shortestObjectiveMS float64     // of dashboards
-	largestWorkMS       float64     // work of a large request, by the settings
+	shortestObjectiveMS float64     // of all classes except loads
+	largestWorkMS       float64     // largest work of a large request among the classes
 }
 
 func newEstimates(classes []Class) estimates {
@@ -57,7 +58,8 @@
 		largeWorkMS := largeWorkFraction * c.LatencyObjectiveMS * float64(max(1, c.Threads))
 		est.largestWorkMS = max(est.largestWorkMS, largeWorkMS)
 	}
-	// The value stays finite without dashboards; the controller never moves then.
+	// The value must be finite also if all classes are loads. The controller never moves then,
+	// as there are no dashboards.
 	est.shortestObjectiveMS = min(objectiveMS, maxIntervalMS)
 	return est
 }
@@ -110,7 +112,7 @@
 	return g.uncontendedDurationMS(r) * max(1, g.estimates.slowdown.value)
 }
 
-// expectedRemainingMS returns how much longer an attempt of that age is expected to run.
+// expectedRemainingMS returns how much longer an attempt of age ageMS is expected to run.
 func expectedRemainingMS(ageMS, expectedMS float64) float64 {
 	return max(expectedMS-ageMS, overrunFraction*(ageMS-expectedMS), minRemainingFraction*expectedMS)
 }
--- a/control/event.go
+++ b/control/event.go
@@ -98,8 +98,8 @@
 	WatchTimer TimerName = "watch" // request the endpoint list again
 )
 
-// LoadReport is an engine's report of its load. A negative value means that the engine
-// did not report it.
+// LoadReport is an engine's report of its load. A negative field means that the engine
+// did not report the value.
 type LoadReport struct {
 	InFlight       float64 // requests that are running
 	Queued         float64 // requests that are waiting
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,7 +7,7 @@
 )
 
 // A gateway is created from its settings and a seed. It takes events and returns the
-// actions that the caller is to carry out.
+// actions that the caller must carry out.
 func Example() {
 	g := control.New(control.Settings{
 		GatewayCount: 1,
--- a/control/gateway.go
+++ b/control/gateway.go
@@ -10,7 +10,7 @@
 
 const (
 	sweepIntervalMS  = 25.0
-	pauseThresholdMS = 100.0 // a sweep that is more than this late shows that the process was paused
+	pauseThresholdMS = 100.0 // a sweep overdue by more than this shows that the process was paused
 
 	rngStream = 0x6c617069 // second seed word of the random number generator
 )
@@ -153,15 +153,16 @@
 	}
 }
 
-// setSweepTimer schedules the next sweep. A late sweep shows that this process was
-// paused. Replies may then have waited unread, so engines look slower than they are,
-// and no attempt or engine is judged by what that sweep finds.
+// setSweepTimer schedules the next sweep.
 func (g *Gateway) setSweepTimer() {
 	g.sweepDueMS = g.nowMS + sweepIntervalMS
 	g.emit(Action{Kind: SetTimer, DelayMS: sweepIntervalMS, Timer: SweepTimer})
 }
 
-// wasPaused reports whether the current event revealed a pause of this process.
+// wasPaused reports whether the current event revealed a pause of this process, as a sweep
+// was long overdue. Replies may then have waited unread, and engines look slower than they
+// are. The event therefore adds no durations to the estimates, cancels no attempt as late or
+// unresponsive, and ejects no engine as unresponsive.
 func (g *Gateway) wasPaused() bool { return g.pauseDetectedAtMS == g.nowMS }
 
 // sweep does the periodic work: it updates averages, closes control intervals, checks
--- a/control/health.go
+++ b/control/health.go
@@ -7,11 +7,11 @@
 
 const (
 	slowBelowSpeed  = 0.6    // an engine is slow up to this fraction of the median engine's speed
-	minSpeedSamples = 5      // dashboards that an engine must have answered before its speed counts
+	minSpeedSamples = 5      // dashboards that must be recorded for an engine before its speed counts
 	minSpeedEngines = 3      // engines with enough samples that a median needs
-	speedDecayMS    = 3000.0 // time constant with which a low speed without new samples decays
+	speedDecayMS    = 3000.0 // time constant with which a low speed returns to 1 without new samples
 	failuresToEject = 2      // consecutive failures, or unresponsive dashboards in one sweep
-	minEjectionMS   = 500.0  // first ejection; doubles with each failed recovery probe
+	minEjectionMS   = 500.0  // first ejection; each repeated ejection lasts twice as long
 	maxEjectionMS   = 5000.0
 
 	// A dashboard in flight times out after timeoutObjectiveFraction of its objective
@@ -22,11 +22,11 @@
 	timeoutLatencyMultiple   = 4.0
 )
 
-// engineHealth is the recent latency and failures of an engine.
+// engineHealth holds the recent latency and failures of an engine.
 type engineHealth struct {
 	latencyMS         runningMean // of dashboards
 	workMS            runningMean // of the same dashboards
-	lastActivityAtMS  float64     // last message from the engine
+	lastActivityAtMS  float64     // last message about an attempt, or failed connection
 	lastDashboardAtMS float64     // last sample in latencyMS
 
 	consecutiveFailures    int
@@ -39,7 +39,8 @@
 	ejections      int // since a request last succeeded while the engine was not ejected
 }
 
-// reset discards what was measured on an engine process that has been replaced.
+// reset discards the measurements and failures of an engine that has restarted, or that is
+// enabled again.
 func (h *engineHealth) reset() {
 	h.consecutiveFailures = 0
 	h.ejections = 0
@@ -49,7 +50,7 @@
 	h.workMS = runningMean{}
 }
 
-// hasEnoughSamples reports whether enough dashboards were answered to compute a speed.
+// hasEnoughSamples reports whether enough dashboards were recorded to compute a speed.
 func (h *engineHealth) hasEnoughSamples() bool {
 	return h.latencyMS.count >= minSpeedSamples && h.workMS.value > 0
 }
@@ -83,7 +84,7 @@
 	}
 }
 
-// isEjected reports whether the engine gets no requests because of its failures. When
+// isEjected reports whether the engine receives no requests because of its failures. When
 // most engines are ejected, none is treated as ejected: the fault is elsewhere then.
 func (g *Gateway) isEjected(e *engine) bool { return e.health.ejected && g.ejectionBalance <= 0 }
 
@@ -148,7 +149,7 @@
 	}
 }
 
-// isUnresponsive reports whether nothing was received from the engine since the attempt
+// isUnresponsive reports whether the engine has shown no activity since the attempt
 // started. In the event that reveals a pause of this gateway it returns false, as messages
 // may be unread.
 func (g *Gateway) isUnresponsive(a *attempt) bool {
--- a/control/health_test.go
+++ b/control/health_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A request that fails on every engine gets its error after a second attempt, and no engine
+// A request that fails on every engine is failed after its second attempt, and no engine
 // is ejected for it. An engine that fails requests which another engine then serves is
 // ejected. A lost connection that ends many attempts counts as one failure.
 func TestErrorsCountAgainstTheirCause(t *testing.T) {
@@ -174,7 +174,7 @@
 // The latency of a read that is blocked by a load of its data set reflects the load and not
 // the engine: it changes neither the thread limit nor the engine's speed, and ejects no
 // engine. Reads of a data set without a load do change them.
-func TestBlockedReadsDoNotJudgeTheirEngine(t *testing.T) {
+func TestBlockedReadsDoNotCountAgainstEngine(t *testing.T) {
 	for _, blocked := range []bool{true, false} {
 		s := twoEngineKinds()
 		s.CanGossip = true
--- a/control/loadreport.go
+++ b/control/loadreport.go
@@ -18,8 +18,9 @@
 	return !math.IsNaN(sum) && !math.IsInf(sum, 0)
 }
 
-// recordLoadReport updates the load of an engine from a load report, by the resource
-// that is used most. A report that is nil or not valid has no effect.
+// recordLoadReport updates the load of an engine from a load report. The number of threads
+// follows from the most used resource or from the number of requests, whichever yields
+// more. A report that is nil or not valid has no effect.
 func (g *Gateway) recordLoadReport(e *engine, report *LoadReport) {
 	if report == nil || !report.valid() {
 		return
@@ -46,7 +47,7 @@
 }
 
 // probeForHeadroom probes a few random engines that could run a queued request: its
-// preferred engines during the first probe interval after its arrival, then all.
+// preferred engines during the first probe interval after its arrival, then any.
 func (g *Gateway) probeForHeadroom(r *request) {
 	if g.nowMS < g.nextProbeAtMS {
 		return
--- a/control/permissions_test.go
+++ b/control/permissions_test.go
@@ -50,8 +50,8 @@
 	return tr
 }
 
-// A load report is used even if the settings say that engines send none: what an engine reports
-// of itself is true. (TestRunawayAttemptIsRetried covers the same for progress reports.)
+// A load report is used even if the settings say that engines send none: an engine's report of
+// its own load is reliable. (TestRunawayAttemptIsRetried covers the same for progress reports.)
 func TestUnannouncedLoadReportsAreUsed(t *testing.T) {
 	s := oneGateway()
 	if s.LoadReportsInReplies || s.LoadReportsInProbes {
--- a/control/queue.go
+++ b/control/queue.go
@@ -6,7 +6,7 @@
 )
 
 // handleArrival registers and queues a new request. A request of an unknown class, or
-// with the id of a registered request, is ignored.
+// with the ID of a registered request, is ignored.
 func (g *Gateway) handleArrival(ev Event) {
 	if ev.Class < 0 || ev.Class >= len(g.classes) || g.requestByID[ev.RequestID] != nil {
 		return
@@ -36,7 +36,7 @@
 }
 
 // deadlineIsNear reports whether the next sweep may be too late to answer the request by
-// its deadline. The last attempt of a client may arrive this late.
+// its deadline. A client's last retry may arrive with as little time left.
 func (g *Gateway) deadlineIsNear(r *request) bool {
 	return r.deadlineAtMS-g.nowMS <= sweepIntervalMS+2*g.settings.TickMS
 }
--- a/control/queue_test.go
+++ b/control/queue_test.go
@@ -28,13 +28,13 @@
 	}
 }
 
-func TestOneFinalAnswerByDeadline(t *testing.T) {
+func TestOneFinalResponseByDeadline(t *testing.T) {
 	tr := newScenario(t, oneGateway()) // without engines
 	tr.arrive("short", 0, 50, 2000)
 	tr.arrive("long", 1, 500, 4000)
 	tr.arrive("hopeless", 0, 50, 3) // a client's last attempt, with less time left than a sweep interval
-	tr.advance(9000)                // the rule checker checks the time of each final answer
+	tr.advance(9000)                // the rule checker checks the time of each final response
 	if len(tr.finals) != 3 {
-		t.Errorf("%d final answers, want 3", len(tr.finals))
+		t.Errorf("%d final responses, want 3", len(tr.finals))
 	}
 }
--- a/control/reason.go
+++ b/control/reason.go
@@ -1,7 +1,7 @@
 package control
 
-// Reason is why a request was rejected or failed, or why an attempt was cancelled. It is
-// used in logs and counters only: no decision depends on it.
+// Reason is why a request was rejected or failed, or why an attempt was cancelled. Callers
+// use it in logs and counters only.
 type Reason int
 
 // NoReason is the reason of a request that was served.
@@ -9,15 +9,15 @@
 
 // The reasons that this package reports.
 const (
-	NearDeadline         Reason = iota + 1 // the deadline comes before the next sweep
+	NearDeadline         Reason = iota + 1 // the deadline may come before the next sweep
 	NoCapacityInTime                       // no engine was below its limit of dashboards in time
-	LowValuePerCost                        // the request is late, and others are worth more for its threads
-	MissesObjective                        // it would miss its objective, and others of its class weigh more
+	LowValuePerCost                        // the request is late, and other requests need its threads
+	MissesObjective                        // its class's queue is too long; it has the least weight per work
 	OpenRequestsFull                       // the number of open requests is close to its limit
 	UnresponsiveAttempt                    // the engine does not respond, or the attempt takes far too long
-	ResponseLost                           // work that must not be repeated is long overdue
+	ResponseLost                           // it must not be repeated, and its response is most likely lost
 	ResponseStarted                        // the response has begun
-	EngineErrors                           // several engines returned errors
+	EngineErrors                           // several attempts ended in errors
 	AttemptLimit                           // Settings.MaxAttempts is reached
 	RetryBudgetExhausted                   // the retry budget allows no further retry
 	MayHaveRun                             // an attempt may have run, and the class must not run twice
--- a/control/request.go
+++ b/control/request.go
@@ -30,7 +30,7 @@
 	cancelled          bool
 	errored            bool
 	neverRan           bool
-	blockedByLoad      bool // a load of its data set ran on the engine
+	blockedByLoad      bool // a load of its data set ran on the engine and blocked it
 	progress           float64
 	progressAtMS       float64 // time of the last progress report
 	lastStatusAtMS     float64 // time of the last status report of any kind
@@ -56,7 +56,7 @@
 	return count
 }
 
-// mayHaveRun reports whether some attempt is not proved never to have run.
+// mayHaveRun reports whether some attempt has run or may have run.
 func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.neverRan })
 }
@@ -75,7 +75,8 @@
 	return r, &r.attempts[ev.Attempt]
 }
 
-// register adds a new request to every list and sum that includes it.
+// register adds a new request to the open requests, the retry budget, the requests of its
+// key and the demand.
 func (g *Gateway) register(r *request) {
 	g.nextSequence++
 	g.openRequests = append(g.openRequests, r)
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// mayRun reports whether the order of its key allows the request to run at a time.
+// mayRun reports whether the order of its key allows the request to run at nowMS.
 func (k *keyOrder) mayRun(r *request, nowMS float64) bool {
 	if !r.class.OrderedByKey || r.key == "" {
 		return true
--- a/control/retry.go
+++ b/control/retry.go
@@ -42,7 +42,7 @@
 
 // retryBudgetAllows reports whether both the gateway's own budget and that of the
 // settings allow one more retry. The delay until an attempt reaches its engine varies, so
-// two attempts may arrive closer together than they were decided on. The budget of the
+// two attempts may arrive closer together than they were started. The budget of the
 // settings is therefore checked over a longer window for retries, and a shorter one for
 // arrivals.
 func (g *Gateway) retryBudgetAllows() bool {
@@ -60,7 +60,7 @@
 	return retries+1 <= g.settings.RetryBudgetBase+g.settings.RetryBudgetPerRequest*arrivals
 }
 
-// expireRetryBudget drops the times that lie before the windows of both budgets.
+// expireRetryBudget removes the times that are older than the windows of both budgets.
 func (g *Gateway) expireRetryBudget() {
 	windowMS := max(retryWindowMS, g.settings.RetryBudgetWindowMS+g.settings.SendDelayAllowanceMS)
 	beforeMS := g.nowMS - windowMS - sweepIntervalMS
@@ -68,7 +68,7 @@
 	g.retryBudget.retries = dropBefore(g.retryBudget.retries, beforeMS)
 }
 
-// countAfter returns how many of the times, which are sorted, lie after a moment.
+// countAfter returns how many of the sorted times are after from.
 func countAfter(times []float64, from float64) float64 {
 	i, _ := slices.BinarySearchFunc(times, from, func(t, from float64) int {
 		if t > from {
@@ -79,7 +79,7 @@
 	return float64(len(times) - i)
 }
 
-// dropBefore drops those of the times, which are sorted, that lie before a moment.
+// dropBefore removes the times that are earlier than before from the sorted times.
 func dropBefore(times []float64, before float64) []float64 {
 	i, _ := slices.BinarySearch(times, before)
 	return slices.Delete(times, 0, i)
--- a/control/retry_test.go
+++ b/control/retry_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// An attempt may reach its engine later than it was decided on, so two retries that were
-// decided on a window apart may arrive within one window. The budget therefore counts retries
-// over a window extended by the largest such delay.
+// An attempt reaches its engine some time after it was started, so two retries that were started
+// a window apart may arrive within one window. The budget therefore counts retries over a window
+// that is extended by the largest such delay.
 func TestRetryBudgetAllowsForSendDelay(t *testing.T) {
 	s := oneGateway()
 	s.RetryBudgetBase = 1
--- a/control/routing.go
+++ b/control/routing.go
@@ -10,13 +10,13 @@
 	// headroomReportMaxAgeMS, as dashboards take little capacity.
 	routingReportMaxAgeMS = 3000.0
 
-	nonPreferredCost = 0.75 // threads per core by which a preferred engine may be fuller than others
+	nonPreferredCost = 0.75 // threads per core by which a preferred engine may be fuller and still be chosen
 
 	// Largest fractions of the engines that may run loads of one data set at a time: the
 	// requests that these loads block need the other engines.
 	maxLoadingFraction       = 0.5
-	maxUrgentLoadingFraction = 0.8 // for a load with little time left
-	urgentDurations          = 2.0 // expected durations of a load below which the time left is little
+	maxUrgentLoadingFraction = 0.8 // for an urgent load
+	urgentDurations          = 2.0 // a load is urgent this many expected durations before its objective
 )
 
 // separation says how well a choice of engine keeps the loads of a data set apart from
@@ -29,7 +29,7 @@
 	behindLoad            // a load of the data set runs there, which would block the request
 )
 
-// choiceRank ranks the engines that a request may go to. Engines that have had no
+// choiceRank is the rank of an engine that a request may go to. Engines that have had no
 // attempt of the request come first, then those with the better separation, then those
 // of lower cost.
 type choiceRank struct {
@@ -51,8 +51,8 @@
 	return c.cost < than.cost
 }
 
-// engineForDashboard returns the engine with the fewest threads per core, nil if all
-// engines have reached their limit of dashboards.
+// engineForDashboard chooses an engine for a dashboard by threads per core. It returns nil
+// if all engines have reached their limit of dashboards or the request should wait.
 func (g *Gateway) engineForDashboard(r *request) *engine {
 	return g.choose(r, func(e *engine) float64 {
 		if g.dashboardsAtLimit(r.class, e) {
@@ -60,23 +60,26 @@
 		}
 		threads := float64(e.load.threads() + r.class.Threads)
 		if e.sharesThreadLimit {
-			threads += g.otherGatewaysThreads(e)
+			threads += g.peerThreads(e)
 		}
 		return threads / g.effectiveCores(e)
 	})
 }
 
-// otherGatewaysThreads estimates the threads that other gateways run on an engine.
-func (g *Gateway) otherGatewaysThreads(e *engine) float64 {
+// peerThreads estimates the threads that the peers run on an engine. A load report also
+// counts this gateway's threads. Without a recent report the estimate is one thread per
+// core.
+func (g *Gateway) peerThreads(e *engine) float64 {
 	if g.nowMS-e.load.reportedAtMS < routingReportMaxAgeMS {
 		return e.load.reportedThreads + e.load.threadsSinceReport
 	}
 	return e.cores
 }
 
-// engineForSecondary returns the engine with the most headroom under its thread limit
-// for secondary work, nil if none has headroom. On an engine with a limit of its own,
-// one thread of headroom is enough, and the request may then exceed the limit.
+// engineForSecondary chooses an engine for secondary work by headroom under its thread
+// limit. It returns nil if no engine has headroom or the request should wait. On an engine
+// with a limit of its own, one thread of headroom is enough, and the request may then exceed
+// the limit.
 func (g *Gateway) engineForSecondary(r *request) *engine {
 	overshootExhausted := g.overshootExhausted(r)
 	e := g.choose(r, func(e *engine) float64 {
@@ -101,8 +104,8 @@
 	return e
 }
 
-// overshootExhausted reports whether this gateway's threads on all engines with limits
-// of their own have reached the sum of these limits, unrounded, plus this gateway's
+// overshootExhausted reports whether this gateway's secondary threads on all engines with
+// limits of their own have reached the sum of these limits, unrounded, plus this gateway's
 // share of one overshoot per engine. Without this check many gateways could exceed the
 // limits of all engines at once.
 func (g *Gateway) overshootExhausted(r *request) bool {
@@ -205,8 +208,8 @@
 // reader waits if a load would block it there and some other engine runs no load of the
 // data set. A load waits if it would leave too few engines without a load of the data
 // set. Otherwise loads of a few data sets would spread until their readers are blocked
-// on every engine and hold threads that other requests need. A load that has little
-// time left may use more engines.
+// on every engine and hold threads that other requests need. An urgent load may use more
+// engines.
 func (g *Gateway) shouldWait(r *request, e *engine, selectable, loading float64) bool {
 	if !r.class.IsLoad {
 		return r.class.BlockedByLoads && loading < selectable && g.runsLoad(e, r.dataset)
@@ -219,7 +222,7 @@
 }
 
 // selectable reports whether the engine may be chosen for a request. An ejected engine
-// gets no requests, except that after its ejection time a single dashboard may go there
+// receives no requests, except that after its ejection time a single dashboard may go there
 // as a recovery probe.
 func (g *Gateway) selectable(e *engine, r *request) bool {
 	if !g.mayStart(r, e) {
--- a/control/routing_test.go
+++ b/control/routing_test.go
@@ -63,8 +63,10 @@
 	for len(third.attempts) == 0 && !third.closed {
 		tr.advance(sweepIntervalMS)
 	}
-	if left := tr.gateway.objectiveAtMS(third) - tr.nowMS; len(third.attempts) != 1 || left < tr.gateway.expectedDurationMS(third) || left > urgentDurations*tr.gateway.expectedDurationMS(third) {
-		t.Errorf("the third load has %d attempts, %.0f ms before its objective", len(third.attempts), left)
+	remainingMS, expectedMS := tr.gateway.objectiveAtMS(third)-tr.nowMS, tr.gateway.expectedDurationMS(third)
+	if len(third.attempts) != 1 || remainingMS < expectedMS || remainingMS > urgentDurations*expectedMS {
+		t.Errorf("the third load has %d attempts, %.0f ms before its objective", len(third.attempts),
+			remainingMS)
 	}
 }
 
--- a/control/rulechecker_test.go
+++ b/control/rulechecker_test.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// checkSlowStart checks rule 4: within any window, this gateway sends at most its even part
+// checkSlowStart checks rule 4: within any window, this gateway sends at most its even share
 // of the overload threshold to an engine in slow start.
 func (c *ruleChecker) checkSlowStart(nowMS float64, r *trackedRequest, e EngineInfo) {
 	c.t.Helper()
--- a/control/scenario_test.go
+++ b/control/scenario_test.go
@@ -21,7 +21,8 @@
 func twoEngineKinds() Settings {
 	return Settings{
 		GatewayCount: 2, TickMS: 5, ResponseGraceMS: 20, DrainGraceMS: 500, MaxAttempts: 4, CanCancel: true,
-		OverloadMultiple: 2, OverloadWindowMS: 1000, SlowStartInitialFraction: 0.4, SlowStartWindowMS: 10000, KeySettleMS: 400,
+		OverloadMultiple: 2, OverloadWindowMS: 1000, SlowStartInitialFraction: 0.4, SlowStartWindowMS: 10000,
+		KeySettleMS: 400,
 		EngineKinds: []EngineKind{{8, 8000}, {16, 16000}},
 		Classes: []Class{
 			{LatencyObjectiveMS: 500, ObjectiveSlope: 2, DeadlineMS: 2000, PriorityWeight: 1, Threads: 1,
--- a/control/settings.go
+++ b/control/settings.go
@@ -46,8 +46,8 @@
 	MemoryMB float64
 }
 
-// NoTenant is the tenant of a request that names no tenant, or a tenant that is not in
-// Settings.Tenants. If there are tenants, such a request is covered by no quota.
+// NoTenant is the tenant of a request that names no tenant, or one that is not in
+// Settings.Tenants. If there are tenants, such a request weighs as one over its quota.
 const NoTenant = -1
 
 // Tenant is the quota of one tenant.
@@ -68,8 +68,8 @@
 
 	ResponseGraceMS          float64 // a final response may come this long after the deadline
 	DrainGraceMS             float64 // how long attempts may start on an engine after it began to drain
-	OverloadMultiple         float64 // in slow start, load above this times its capacity makes an engine fail
-	OverloadWindowMS         float64 // for this long
+	OverloadMultiple         float64 // load above this multiple of its capacity makes a starting engine fail
+	OverloadWindowMS         float64 // if the load lasts this long
 	SlowStartInitialFraction float64 // fraction of its capacity that an engine has at its start
 	SlowStartWindowMS        float64 // time from its start until it has its full capacity
 	EndpointListMaxAgeMS     float64 // maximum age of a polled endpoint list
@@ -84,7 +84,7 @@
 	CanCancel            bool // attempts may be cancelled
 	CanHedge             bool // a second attempt may start while the first is still in flight
 	CanProbe             bool // engines may be probed
-	CanGossip            bool // messages may be sent to the other gateways
+	CanGossip            bool // messages may be sent to the peers
 	PollsEndpointList    bool // the endpoint list is polled, not pushed
 	SendsRetryAfter      bool // a rejection carries a Retry-After
 	MaxRetryAfterMS      float64
--- a/control/shedding.go
+++ b/control/shedding.go
@@ -120,8 +120,7 @@
 	return max(threads, float64(r.class.Threads))
 }
 
-// weightIfServedAfter returns the weight of a response that is given after a further
-// time.
+// weightIfServedAfter returns the weight that a response earns if it is given in afterMS.
 func (g *Gateway) weightIfServedAfter(r *request, afterMS float64) float64 {
 	if g.nowMS+afterMS > g.objectiveAtMS(r) {
 		return r.class.PriorityWeight * r.class.LateWeight
@@ -129,10 +128,10 @@
 	return r.class.PriorityWeight
 }
 
-// shouldYieldThreads reports whether a late attempt of secondary work holds threads
-// that are worth more to the requests waiting for them: its late weight per remaining
-// thread time is lower than the weight that its class earns in time. When all engines
-// are busy, this stops attempts with bad plans from holding threads for long.
+// shouldYieldThreads reports whether a late attempt of secondary work should end, so that
+// queued requests can use its threads: its late weight per remaining thread time is lower
+// than the full weight of its class per mean work. When all engines are busy, this stops
+// attempts with bad plans from holding threads for long.
 func (g *Gateway) shouldYieldThreads(r *request, timing attemptTiming) bool {
 	if r.class.Idempotency != Idempotent || r.class.isDashboard || g.nowMS <= g.objectiveAtMS(r) {
 		return false
@@ -154,17 +153,17 @@
 	return limit > 0 && float64(len(g.openRequests)) > criticalOpenFraction*float64(limit)
 }
 
-// shedCandidate is an open request that may be ended, with its weight per millisecond
-// that it is expected to stay open.
+// shedCandidate is an open request that may be ended. weightPerMS is its weight per
+// millisecond that it is expected to stay open.
 type shedCandidate struct {
 	request     *request
 	weightPerMS float64
 }
 
 // shedOpenRequests ends open requests when their number is close to MaxOpenRequests. It
-// ends requests whose weight, per time that they will stay open, is below the average
-// weight per time that open requests yield. Otherwise requests that are blocked by
-// loads, or are too late to have any weight, would fill MaxOpenRequests while new
+// ends requests whose weight per time that they will stay open is below the average: the
+// weight served per time, divided by MaxOpenRequests. Otherwise requests that are blocked
+// by loads, or are too late to have any weight, would take all open requests while new
 // clients are refused.
 func (g *Gateway) shedOpenRequests() {
 	target := targetOpenFraction * float64(g.settings.MaxOpenRequests)
--- a/control/shedding_test.go
+++ b/control/shedding_test.go
@@ -22,7 +22,7 @@
 	}
 	tr.advance(50)
 	if len(tr.finals) != 1 || tr.finals[0].RequestID != "heavy" || tr.finals[0].Kind != RejectRequest {
-		t.Errorf("final answers %v, want only the request with the most work rejected", tr.finals)
+		t.Errorf("final responses %v, want only the request with the most work rejected", tr.finals)
 	}
 }
 
@@ -148,12 +148,13 @@
 	}
 	tr.advance(2 * sweepIntervalMS)
 	r := &request{class: &tr.gateway.classes[1], estimatedWorkMS: 9000}
-	if got, want := tr.gateway.expectedThreads(r), float64(tr.gateway.engineByID["warm"].limit.threads); got != max(want, 4) {
-		t.Errorf("expects %v threads, want %v, those of the warm engine", got, want)
+	got, warm := tr.gateway.expectedThreads(r), float64(tr.gateway.engineByID["warm"].limit.threads)
+	if want := max(warm, 4); got != want {
+		t.Errorf("%v threads expected, want %v, those of the warm engine", got, want)
 	}
 }
 
-// If tenants are configured, a request without a known tenant weighs as a request over its
+// If tenants are configured, a request that names none of them weighs as a request over its
 // quota. If no tenants are configured, all requests have their full weight.
 func TestRequestWithoutTenantWeighsAsOverQuota(t *testing.T) {
 	cases := []struct {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -29,8 +29,8 @@
 }
 
 // Many gateways share the slow-start budget of an engine in rotation: the work that all of them
-// send stays within the budget in every window, and some work is sent. Endpoint lists, starts
-// and the rounds in which each gateway acts are delayed by different times.
+// send stays within the budget in every window, and some work is sent. Each gateway receives the
+// list of the starting engines after a random delay, and then requests at random intervals.
 func TestSlowStartBudgetIsSharedByGateways(t *testing.T) {
 	s := oneGateway()
 	s.GatewayCount = 75
--- a/control/supervision.go
+++ b/control/supervision.go
@@ -8,14 +8,14 @@
 
 	// Limits on the age of an attempt, as multiples of its expected duration.
 	lostResponseFactor = 8.0   // above it the response counts as lost
-	minRunawayFactor   = 1.6   // least limit above which a first attempt may count as having a bad plan
-	maxRunawayFactor   = 3.0   // limit above which it does, however much durations vary
+	minRunawayFactor   = 1.6   // above it a first attempt has a bad plan, if durations hardly vary
+	maxRunawayFactor   = 3.0   // above it a first attempt has a bad plan, however much durations vary
 	runawayGraceMS     = 100.0 // time by which the age must exceed each limit
 
 	runawayDeviations     = 4   // mean deviations above the mean, as in TCP's retransmission time-out
 	minRunawayRemaining   = 1.5 // expected durations that an attempt must still need for a retry to pay off
-	minRemainingDivisor   = 10  // an attempt is assumed to need at least its expected duration over this
-	missedStatusIntervals = 2.5 // consecutive missed intervals after which the response counts as lost
+	minRemainingDivisor   = 10  // assumed minimum that remains: the expected duration divided by this
+	missedStatusIntervals = 2.5 // intervals without a status report after which the response counts as lost
 )
 
 // attemptTiming is how long an attempt has been in flight and its expected duration.
@@ -80,8 +80,9 @@
 	}
 }
 
-// cancelIfNotWorthwhile cancels an attempt that is worth too little for the threads it
-// holds, or that another attempt would probably overtake.
+// cancelIfNotWorthwhile cancels an attempt if its request is late and others need its
+// threads, if another attempt would probably end sooner, or if its response is lost while
+// other requests of its key wait.
 func (g *Gateway) cancelIfNotWorthwhile(r *request, index int, timing attemptTiming) {
 	a := &r.attempts[index]
 	switch {
@@ -97,8 +98,8 @@
 	}
 }
 
-// isLateAtLimit reports whether the attempt is of a late dashboard and its engine has
-// reached its limit of dashboards: others need its threads.
+// isLateAtLimit reports whether the attempt is of a late dashboard and the dashboard threads
+// of its engine have reached dashboardConcurrencyLimit: others need its threads.
 func (g *Gateway) isLateAtLimit(r *request, a *attempt) bool {
 	return r.class.isDashboard && g.nowMS > g.objectiveAtMS(r) &&
 		float64(a.engine.load.dashboardThreads) >= g.dashboardConcurrencyLimit(r.class, a.engine)
@@ -111,8 +112,9 @@
 		timing.ageMS > lostResponseFactor*timing.expectedMS+runawayGraceMS
 }
 
-// shouldRetryElsewhere reports whether another attempt would serve the request sooner:
-// the engine is ejected, the response is lost, or the attempt has a bad plan.
+// shouldRetryElsewhere reports whether another attempt would serve the request sooner: the
+// engine is ejected, a dashboard has timed out, status reports have stopped, or the attempt
+// has a bad plan.
 func (g *Gateway) shouldRetryElsewhere(r *request, a *attempt, timing attemptTiming) bool {
 	if g.nowMS+timing.expectedMS >= r.deadlineAtMS || r.class.Idempotency == NotIdempotent {
 		return false
@@ -135,7 +137,7 @@
 	return intervalMS > 0 && g.nowMS-max(a.lastStatusAtMS, a.startedAtMS) > missedStatusIntervals*intervalMS
 }
 
-// isRunaway reports whether an attempt takes far longer than others, or will do so
+// isRunaway reports whether an attempt takes far longer than expected, or will do so
 // according to its progress, which means a bad plan. The limit doubles with each attempt.
 func (g *Gateway) isRunaway(r *request, a *attempt, timing attemptTiming) bool {
 	factor := 1 + runawayDeviations*g.estimates.slowdownDeviation.value
--- a/control/supervision_test.go
+++ b/control/supervision_test.go
@@ -41,7 +41,7 @@
 		}
 		tr.advance(2 * sweepIntervalMS)
 		if len(tr.finals) != 0 {
-			t.Errorf("final answers %v by %.0f ms, want none", tr.finals, tr.nowMS)
+			t.Errorf("final responses %v by %.0f ms, want none", tr.finals, tr.nowMS)
 		}
 		tr.advance(runawayGraceMS + 2*sweepIntervalMS)
 		if !followed {
@@ -50,8 +50,9 @@
 			}
 			continue
 		}
-		if len(tr.finals) != 1 || tr.finals[0].RequestID != "first" || tr.finals[0].Kind != FailRequest || countActions(tr.actions, CancelAttempt) != 1 {
-			t.Fatalf("final answers %v and %d cancelled attempts, want the first request failed and 1 cancelled",
+		if len(tr.finals) != 1 || tr.finals[0].RequestID != "first" || tr.finals[0].Kind != FailRequest ||
+			countActions(tr.actions, CancelAttempt) != 1 {
+			t.Fatalf("final responses %v and %d cancelled attempts, want the first request failed and 1 cancelled",
 				tr.finals, countActions(tr.actions, CancelAttempt))
 		}
 		tr.endAttempt("first", Cancelled)
--- a/control/threadlimit.go
+++ b/control/threadlimit.go
@@ -22,9 +22,9 @@
 	minDemandQuotaFraction = 0.5   // least quota by demand, as a fraction of an even quota
 	headroomReportMaxAgeMS = 500.0 // age up to which a load report proves headroom
 
-	// The limit of dashboards in flight is this fraction of the dashboards done within one
-	// objective. Where the limit is a few threads per gateway, this many standard
-	// deviations (square roots of the limit) are added for bursts.
+	// The limit of dashboards in flight is objectiveUtilization times the dashboards done
+	// within one objective. Where engines share a limit, it is a few threads per gateway, and
+	// burstDeviations standard deviations (square roots of the limit) are added for bursts.
 	objectiveUtilization = 0.6
 	burstDeviations      = 1.0
 
@@ -35,9 +35,9 @@
 // secondary work on one engine, or on all engines of a kind together.
 //
 // Where an engine has less than one core for each gateway that uses it, one gateway's own
-// attempts say little about the engine. All engines of the kind then share one limit. The
-// shared limit stands for the threads of all gateways on an engine and is compared with
-// load reports.
+// attempts say little about the engine. If engines can be probed for load reports, all
+// engines of the kind then share one limit. The shared limit stands for the threads of all
+// gateways on an engine and is compared with load reports.
 type threadLimit struct {
 	threads        int     // C, the limit
 	errorSumMS     float64 // E, the integral of objective minus latency
@@ -157,7 +157,7 @@
 //
 // A surplus (latency below the objective) is not added unless queued work could have
 // used it (conditional integration). E is clamped and moves by at most one objective:
-// otherwise a pause would keep the limit low for long.
+// otherwise a pause of an engine would keep the limit low for long.
 func (g *Gateway) closeControlInterval(e *engine) {
 	gain := g.integralGain(e)
 	limit := e.limit
@@ -197,10 +197,10 @@
 	return limit - e.load.reportedThreads - e.load.threadsSinceReport
 }
 
-// dashboardConcurrencyLimit returns how many dashboard threads may be in flight on an
-// engine. By Little's law, if more are in flight than the throughput times the latency
-// objective, all of them finish late and are retried. The limit is at least this
-// gateway's quota of the engine's cores.
+// dashboardConcurrencyLimit returns how many dashboard threads of this gateway may be in
+// flight on the engines under the engine's thread limit together. By Little's law, if more
+// are in flight than the throughput times the latency objective, all of them finish late and
+// are retried. The limit is at least this gateway's quota of the cores of these engines.
 func (g *Gateway) dashboardConcurrencyLimit(c *class, e *engine) float64 {
 	quota := e.limit.availableCores * g.engineQuota(e)
 	sustainable := e.limit.dashboards.threadsPerMS * c.LatencyObjectiveMS * objectiveUtilization
@@ -211,8 +211,8 @@
 	return limit
 }
 
-// dashboardsAtLimit reports whether the dashboard threads in flight on the engine have
-// reached their limit.
+// dashboardsAtLimit reports whether the dashboard threads in flight under the engine's
+// thread limit have reached dashboardConcurrencyLimit.
 func (g *Gateway) dashboardsAtLimit(c *class, e *engine) bool {
 	return float64(e.limit.dashboards.threadsInFlight) >= g.dashboardConcurrencyLimit(c, e)
 }
--- a/control/threadlimit_test.go
+++ b/control/threadlimit_test.go
@@ -13,8 +13,8 @@
 }
 
 func TestThreadLimitFollowsErrorIntegral(t *testing.T) {
-	// The engine has 8 cores, dashboardNeighbors is 3, and no light-load latency is known yet, so
-	// the objective of 500 ms is used: KI = 8/1500. C starts at 8, so E starts at 1500. The upper
+	// The engine has 8 cores, dashboardNeighbors is 3, and no light-load latency has been recorded,
+	// so the objective of 500 ms is used: KI = 8/1500. C starts at 8, so E starts at 1500. The upper
 	// bound is 1.0*8 = 8 threads, E = 1500.
 	tr := newScenario(t, oneGateway(), engines("a")...)
 	e := tr.gateway.engineByID["a"]
@@ -23,7 +23,7 @@
 	}
 	for _, step := range []struct {
 		name    string
-		latency float64 // mean latency of the interval; 0: no dashboard answered
+		latency float64 // mean latency of the interval; 0: no dashboard recorded
 		unmet   bool    // demandUnmet
 		e       float64
 		c       int
