--- a/internal/server/cluster_program_test.go
+++ b/internal/server/cluster_program_test.go
@@ -50,13 +50,13 @@
 // of the cluster or of unexpected datagrams. With the cluster on, the front end sends
 // cluster datagrams at once.
 func TestClusterOff(t *testing.T) {
-	turnedOn := testprocess.WriteTempFile(t, "group.toml", "on = true\n")
+	fileWithClusterOn := testprocess.WriteTempFile(t, "group.toml", "on = true\n")
 	withoutFile := checkCluster(t, "", false)
 	withShippedFile := checkCluster(t, "../../deploy/group.toml", false)
 	if withoutFile != withShippedFile {
 		t.Errorf("responses without a file:\n%s\nwith the shipped file:\n%s", withoutFile, withShippedFile)
 	}
-	checkCluster(t, turnedOn, true)
+	checkCluster(t, fileWithClusterOn, true)
 }
 
 // checkCluster starts a front end with a cluster file, or without one if file is empty, and
--- a/internal/server/endpointtable.go
+++ b/internal/server/endpointtable.go
@@ -116,7 +116,7 @@
 	t.engines, t.outsideSubset = engines, outside
 }
 
-// selectSubset returns the whole list with the number of front ends that share each
+// selectSubset returns the complete list with the number of front ends that share each
 // engine. Engines outside the subset are marked as draining, so that their attempts end
 // and no new one starts there.
 func (t *endpointTable) selectSubset() []control.EngineInfo {
--- a/internal/server/endpointtable_test.go
+++ b/internal/server/endpointtable_test.go
@@ -42,7 +42,7 @@
 	return engines[i]
 }
 
-// mergeAndSelect applies an update and returns the whole list with the subset selected.
+// mergeAndSelect applies an update and returns the complete list with the subset selected.
 func mergeAndSelect(table *endpointTable, snapshot bool, engines []control.EngineInfo) []control.EngineInfo {
 	table.merge(snapshot, engines)
 	return table.selectSubset()
@@ -60,11 +60,11 @@
 	}
 	draining := findByUsability(engines, before, true)
 	draining.Draining = true
-	shown := mergeAndSelect(table, false, []control.EngineInfo{draining})
-	if len(shown) != len(engines) {
-		t.Fatalf("the list has %d engines, want %d", len(shown), len(engines))
+	list := mergeAndSelect(table, false, []control.EngineInfo{draining})
+	if len(list) != len(engines) {
+		t.Fatalf("the list has %d engines, want %d", len(list), len(engines))
 	}
-	after := usableIDs(shown)
+	after := usableIDs(list)
 	if after[draining.ID] {
 		t.Fatalf("engine %s is draining and still usable", draining.ID)
 	}
@@ -98,9 +98,9 @@
 	}
 	draining := engines[2]
 	draining.Draining = true
-	shown := mergeAndSelect(table, true, []control.EngineInfo{engines[1], engines[2], draining})
-	if usable := usableIDs(shown); len(shown) != 2 || len(usable) != 1 || !usable[engines[1].ID] {
-		t.Errorf("the list is %+v, want 2 engines, only %s usable", shown, engines[1].ID)
+	list := mergeAndSelect(table, true, []control.EngineInfo{engines[1], engines[2], draining})
+	if usable := usableIDs(list); len(list) != 2 || len(usable) != 1 || !usable[engines[1].ID] {
+		t.Errorf("the list is %+v, want 2 engines, only %s usable", list, engines[1].ID)
 	}
 	removed := []control.EngineInfo{engines[1], draining}
 	for i := range removed {
@@ -163,11 +163,11 @@
 	table := newLargeFleetTable()
 	engines := makeEngines(400)
 	selected := usableIDs(mergeAndSelect(table, true, engines))
-	shown := table.visible()
-	if usable := usableIDs(shown); len(shown) != len(selected) || !maps.Equal(usable, selected) {
-		t.Fatalf("%d engines visible, usable %v, want only %v", len(shown), usable, selected)
+	visible := table.visible()
+	if usable := usableIDs(visible); len(visible) != len(selected) || !maps.Equal(usable, selected) {
+		t.Fatalf("%d engines visible, usable %v, want only %v", len(visible), usable, selected)
 	}
-	draining, removed := shown[0], shown[1]
+	draining, removed := visible[0], visible[1]
 	draining.Draining = true
 	removed.Removed = true
 	table.merge(false, []control.EngineInfo{draining, removed})
@@ -187,7 +187,7 @@
 	table := newLargeFleetTable()
 	engines := makeEngines(400)
 	selected := usableIDs(mergeAndSelect(table, true, engines))
-	shown := table.visible()
+	visible := table.visible()
 	outside := findByUsability(engines, selected, false).ID
 	if !table.markOverridden(outside) {
 		t.Error("an engine outside the subset was not hidden before its override")
@@ -195,15 +195,15 @@
 	if table.markOverridden(outside) {
 		t.Error("an engine was hidden although it was overridden before")
 	}
-	if table.markOverridden(shown[0].ID) {
+	if table.markOverridden(visible[0].ID) {
 		t.Error("an engine of the subset was hidden")
 	}
 	if table.markOverridden("never listed") {
 		t.Error("an engine that was never listed is reported as hidden before")
 	}
 	now := table.visible()
-	if len(now) != len(shown)+1 {
-		t.Errorf("%d engines visible after the override, want %d", len(now), len(shown)+1)
+	if len(now) != len(visible)+1 {
+		t.Errorf("%d engines visible after the override, want %d", len(now), len(visible)+1)
 	}
 	if usableIDs(now)[outside] {
 		t.Error("an overridden engine outside the subset is usable")
--- a/internal/server/engineinput_program_test.go
+++ b/internal/server/engineinput_program_test.go
@@ -86,9 +86,9 @@
 		defer func() { _ = c.Close() }()
 		buffer := make([]byte, 4096)
 		n, _ := c.Read(buffer)
-		if words := strings.Fields(string(buffer[:n])); len(words) > 1 && words[0] == "PULL" {
+		if fields := strings.Fields(string(buffer[:n])); len(fields) > 1 && fields[0] == "PULL" {
 			requests.Add(1)
-			_, _ = io.WriteString(c, replyOneRow(fakes.Command{ID: words[1]})+"0123 AC")
+			_, _ = io.WriteString(c, replyOneRow(fakes.Command{ID: fields[1]})+"0123 AC")
 		}
 	})
 	f := startFrontEnd(t, "", 1024, e)
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -201,7 +201,7 @@
 	return c
 }
 
-// trySend writes a message. The connection may have been closed.
+// trySend writes a message and ignores errors, as the connection may have been closed.
 func (c *client) trySend(message string) { _, _ = io.WriteString(c.conn, message) }
 
 func (c *client) close() { _ = c.conn.Close() }
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -125,7 +125,7 @@
 }
 
 // setAliveFrontEnds applies a change of the front ends that are alive: quotas and engines
-// are divided among these. The index in alive is that in the list of peers.
+// are divided among these. alive has the same indices as the list of peers.
 func (f *platformFrontEnd) setAliveFrontEnds(alive []bool) {
 	f.endpoints.plan.Alive = slices.Clone(alive)
 	aliveCount := 0
