--- a/internal/antientropy/compat_test.go
+++ b/internal/antientropy/compat_test.go
@@ -37,8 +37,8 @@
 	goldentest.Check(t, "hashes.txt", cases, encode, DecodeHashes)
 }
 
-// TestCompatDigests checks that all versions compute the same digests for the whole of
-// a set and for its ranges, and descend into the same ranges.
+// TestCompatDigests checks that all versions compute the same digests for a whole set and
+// for its ranges, and descend into the same ranges.
 func TestCompatDigests(t *testing.T) {
 	golden := goldentest.Read(t, "digests.txt")
 	check := func(name string, got []byte) {
--- a/internal/cluster/adminjson.go
+++ b/internal/cluster/adminjson.go
@@ -100,14 +100,14 @@
 }
 
 func (c *Cluster) memberJSON(m membership.Member) memberJSON {
-	shown := memberJSON{Name: m.Name, Address: m.Addr.String(), Incarnation: m.Incarnation, State: m.State.String()}
-	if shown.Name == "" { // no message with the name has been received
-		shown.Name = shown.Address
+	result := memberJSON{Name: m.Name, Address: m.Addr.String(), Incarnation: m.Incarnation, State: m.State.String()}
+	if result.Name == "" { // no message with the name has been received
+		result.Name = result.Address
 	}
 	if m.State != membership.Unknown {
-		shown.InStateMS = int64(c.host.Now() - m.SinceMS)
+		result.InStateMS = int64(c.host.Now() - m.SinceMS)
 	}
-	return shown
+	return result
 }
 
 func formatDigest(digest uint64) string { return fmt.Sprintf("%016x", digest) }
--- a/internal/engineclient/counters.go
+++ b/internal/engineclient/counters.go
@@ -23,7 +23,7 @@
 	DuplicateReplies        int            `json:"SecondCopies"`  // results and pages received more than once
 	UnresponsiveConnections int            `json:"Quiet"`         // dials beside unresponsive connections
 	Withdrawn               int            `json:"Withdrawn"`     // requests, before they were written
-	Truncated               int            `json:"Unsent"`        // part of LostWith: not written whole
+	Truncated               int            `json:"Unsent"`        // part of LostWith: written incompletely
 	MalformedLoadReports    int            `json:"SpoiltReports"` // dropped
 	LostWithConnection      int            `json:"LostWith"`      // exchanges lost with their connection
 }
--- a/internal/lease/requests.go
+++ b/internal/lease/requests.go
@@ -89,7 +89,7 @@
 	finished          bool
 }
 
-// endMS returns the time at which an operation is given up. A request that no quorum
+// endMS returns the time at which an operation is abandoned. A request that no quorum
 // has answered ends before its deadline, so that a client on the minority side of a
 // partition receives its response early.
 func (op *operation) endMS(noQuorumAfterMS float64) float64 {
--- a/internal/membership/damper.go
+++ b/internal/membership/damper.go
@@ -95,8 +95,8 @@
 	flap.sinceMS = nowMS
 }
 
-// shouldInclude reports whether a member is to be included. included tells whether
-// it is included now.
+// shouldInclude reports whether a member should be included from now on. included says
+// whether it has been included so far.
 func (d *Damper) shouldInclude(flap *flapState, nowMS float64, included bool) bool {
 	if !flap.alive {
 		return included && nowMS < flap.sinceMS+d.MinStableMS
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -43,8 +43,8 @@
 
 // gossipQueue holds the states and names to be sent with the next datagrams.
 type gossipQueue struct {
-	updates   []*entry // members whose state is to be sent
-	names     []*entry // members whose name is to be sent
+	updates   []*entry // members whose state must be sent
+	names     []*entry // members whose name must be sent
 	flushAtMS float64  // time at which new updates are sent in datagrams of their own
 }
 
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -26,9 +26,9 @@
 	startedMS     float64
 	expiresAtMS   float64
 	// A reporter notifies the suspect, so that the suspect can refute the suspicion.
-	notifyAtMS        float64
-	notificationsLeft int
-	finalProbe        bool // the final probe, which decides, is in flight
+	notifyAtMS             float64
+	remainingNotifications int
+	finalProbe             bool // the final probe, which decides, is in flight
 }
 
 // hasReporter reports whether a member has reported the suspicion.
@@ -63,10 +63,10 @@
 	s.notifyAtMS = math.Inf(1)
 	if reportedHere {
 		s.notifyAtMS = v.nowMS
-		s.notificationsLeft = suspectNotifications
+		s.remainingNotifications = suspectNotifications
 		if v.inMassFailure() { // most suspects are dead: notify only once, and later
 			s.notifyAtMS = v.nowMS + v.options.Times.SuspicionMinMS/2
-			s.notificationsLeft = 1
+			s.remainingNotifications = 1
 		}
 	}
 	v.suspects = append(v.suspects, e)
@@ -146,8 +146,8 @@
 	if s.notifyAtMS > v.nowMS {
 		return
 	}
-	s.notificationsLeft--
-	if s.notificationsLeft > 0 {
+	s.remainingNotifications--
+	if s.remainingNotifications > 0 {
 		s.notifyAtMS = v.nowMS + v.options.Times.ProbeIntervalMS
 	} else {
 		s.notifyAtMS = math.Inf(1)
