--- a/internal/mysql/accept_test.go
+++ b/internal/mysql/accept_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// shortListener is a listener of a process that is out of descriptors for so many
+// failingListener is a listener of a process that is out of descriptors for so many
 // accepts, and is closed then.
-type shortListener struct {
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
-func (l *shortListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures == 0 {
 		return nil, net.ErrClosed
 	}
@@ -30,7 +30,7 @@
 // listener's close.
 func TestFailedAcceptsAreCounted(t *testing.T) {
 	server := NewServer(&postingLoop{}, &Config{})
-	server.Serve(&shortListener{failures: 3})
+	server.Serve(&failingListener{failures: 3})
 	if server.Counters.AcceptErrors != 3 {
 		t.Errorf("%d accept errors", server.Counters.AcceptErrors)
 	}
--- a/internal/mysql/attempt.go
+++ b/internal/mysql/attempt.go
@@ -38,16 +38,16 @@
 // Unwrap returns the cause.
 func (e notWrittenError) Unwrap() error { return e.error }
 
-var errNotStarted = errors.New("cancelled or too late before it began")
+var errNotWritten = errors.New("cancelled or too late before it began")
 
 // markWritten marks that the statement is about to be written, or fails with
-// errNotStarted if nobody waits for it any more or it is too late: the
+// errNotWritten if nobody waits for it any more or it is too late: the
 // connection may have taken long to come up.
 func (a *attempt) markWritten(nowMS float64) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.cancelled || a.writeByMS > 0 && nowMS > a.writeByMS {
-		return notWrittenError{errNotStarted}
+		return notWrittenError{errNotWritten}
 	}
 	a.written = true
 	return nil
@@ -62,8 +62,8 @@
 	return a.written
 }
 
-// cancelUnwritten cancels the attempt unless its statement was written.
-func (a *attempt) cancelUnwritten() {
+// cancelIfUnwritten cancels the attempt unless its statement was written.
+func (a *attempt) cancelIfUnwritten() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.written {
@@ -96,9 +96,9 @@
 	// find a closed connection, which would count against the engine.
 	if done.broken || s.interrupted || s.engine.removed || s.engine.draining() {
 		p.closeSession(s)
-		p.forgetIfUnused(s.engine)
+		p.removeIfUnused(s.engine)
 	}
-	result := p.judge(s, done, a.isCancelled())
+	result := p.attemptResult(s, done, a.isCancelled())
 	ended := dispatch.AttemptEnded{RequestID: a.requestID, Attempt: a.number, Result: result}
 	if result == control.Served {
 		p.loop.AttemptEnded(ended, done.result)
@@ -107,8 +107,8 @@
 	p.loop.AttemptEnded(ended, nil)
 }
 
-// judge returns an attempt's result. What was not written never ran.
-func (p *Pool) judge(s *session, done attemptDone, cancelled bool) control.Result {
+// attemptResult returns an attempt's result. What was not written never ran.
+func (p *Pool) attemptResult(s *session, done attemptDone, cancelled bool) control.Result {
 	var notWritten notWrittenError
 	switch {
 	case done.err == nil:
@@ -127,7 +127,7 @@
 	case cancelled:
 		return control.Cancelled
 	default:
-		p.Counters.Lost++
+		p.Counters.LostAfterWrite++
 		p.loop.Logf("engine %s: after the statement was written: %v", s.engine.ID, done.err)
 		return control.Reset
 	}
--- a/internal/mysql/client.go
+++ b/internal/mysql/client.go
@@ -26,8 +26,8 @@
 	// Of the event loop.
 	busy         bool // an answer is owed
 	disconnected bool
-	requestID    string     // abandoned when the client disconnects; empty: none
-	load         *namedLoad // with an id, that the client waits for
+	requestID    string      // abandoned when the client disconnects; empty: none
+	load         *loadRecord // with an id, that the client waits for
 }
 
 // serve serves the connection until it ends.
@@ -65,7 +65,7 @@
 	login, err := c.server.authenticate(c.stream, c.connectionID)
 	var denied *Error
 	if errors.As(err, &denied) {
-		c.count(func(counters *ServerCounters) { counters.Denied++ })
+		c.count(func(counters *ServerCounters) { counters.DeniedLogins++ })
 		c.refuse(denied)
 	}
 	if err != nil {
--- a/internal/mysql/compat_test.go
+++ b/internal/mysql/compat_test.go
@@ -12,8 +12,8 @@
 	"dewhill/internal/goldentest"
 )
 
-// same compares a field's value with the one that the golden file gives it.
-func same(t *testing.T, name string, got, want any) {
+// checkEqual compares a field's value with the one that the golden file gives it.
+func checkEqual(t *testing.T, name string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%s: %#v, want %#v", name, got, want)
@@ -32,33 +32,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, "on", c.Enabled, true)
-	same(t, "listen", c.Listen, "127.0.0.1:3306")
-	same(t, "accounts", c.Accounts, []Account{{User: "uploader", Password: "secret-1", Database: "stock"}})
-	same(t, "engines", c.Engines, []Engine{
+	checkEqual(t, "on", c.Enabled, true)
+	checkEqual(t, "listen", c.Listen, "127.0.0.1:3306")
+	checkEqual(t, "accounts", c.Accounts, []Account{{User: "uploader", Password: "secret-1", Database: "stock"}})
+	checkEqual(t, "engines", c.Engines, []Engine{
 		{ID: "e-1", Address: "127.0.0.1:3311", Kind: "small", Size: 0.75, User: "dewhill", Password: "secret-2", State: "active"},
 		{ID: "e-2", Address: "127.0.0.1:3312", Kind: "large", Size: 0.5, User: "dewhill", Password: "secret-3", State: "leaving"},
 	})
-	same(t, "rules", len(c.Rules), 2)
+	checkEqual(t, "rules", len(c.Rules), 2)
 	write, read := c.Rules[0], c.Rules[1]
-	same(t, "verbs", write.Verbs, []string{"INSERT", "LOAD"})
-	same(t, "match", write.Match, `into\s+stock`)
-	same(t, "account", write.Account, "uploader")
-	same(t, "class", write.Class, "fill")
-	same(t, "key", write.Key, "param:2")
-	same(t, "deadline_ms", write.DeadlineMS, 1101.0)
-	same(t, "cost_ms", write.WorkMS, 102.0)
-	same(t, "memory_mb", write.MemoryMB, 103.0)
-	same(t, "match as compiled", write.match.String(), `(?is)into\s+stock`)
-	same(t, "class as found", write.class, 2)
-	same(t, "key's parameter", write.param, 2)
-	same(t, "key of the second rule", read.Key, "text:stock")
-	same(t, "read_class", c.ReadClass, "read")
-	same(t, "load_class", c.LoadClass, "fill")
-	same(t, "limits", c.Limits, Limits{Connections: 257, ConnectionsPerEngine: 33, MaxOpenRequests: 1025, KnownIDs: 4097, IdleMS: 60001, ResultMB: 17})
-	same(t, "settings.categories", len(c.Settings.Classes), 3)
-	same(t, "settings.tickMs", c.Settings.TickMS, 7.0)
-	noneZero(t, "config", reflect.ValueOf(*c))
+	checkEqual(t, "verbs", write.Verbs, []string{"INSERT", "LOAD"})
+	checkEqual(t, "match", write.Match, `into\s+stock`)
+	checkEqual(t, "account", write.Account, "uploader")
+	checkEqual(t, "class", write.Class, "fill")
+	checkEqual(t, "key", write.Key, "param:2")
+	checkEqual(t, "deadline_ms", write.DeadlineMS, 1101.0)
+	checkEqual(t, "cost_ms", write.WorkMS, 102.0)
+	checkEqual(t, "memory_mb", write.MemoryMB, 103.0)
+	checkEqual(t, "match as compiled", write.match.String(), `(?is)into\s+stock`)
+	checkEqual(t, "class as found", write.class, 2)
+	checkEqual(t, "key's parameter", write.param, 2)
+	checkEqual(t, "key of the second rule", read.Key, "text:stock")
+	checkEqual(t, "read_class", c.ReadClass, "read")
+	checkEqual(t, "load_class", c.LoadClass, "fill")
+	checkEqual(t, "limits", c.Limits, Limits{Connections: 257, ConnectionsPerEngine: 33, MaxOpenRequests: 1025, KnownIDs: 4097, IdleMS: 60001, ResultMB: 17})
+	checkEqual(t, "settings.categories", len(c.Settings.Classes), 3)
+	checkEqual(t, "settings.tickMs", c.Settings.TickMS, 7.0)
+	checkNoZeroFields(t, "config", reflect.ValueOf(*c))
 
 	again, err := json.MarshalIndent(c, "", "  ")
 	if err != nil {
@@ -70,14 +70,14 @@
 	}
 }
 
-// noneZero reports fields of the golden configuration that were not read.
-func noneZero(t *testing.T, path string, v reflect.Value) {
+// checkNoZeroFields reports fields of the golden configuration that were not read.
+func checkNoZeroFields(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if field := v.Type().Field(i); field.IsExported() && !goldentest.IsAdded(v, field.Name) {
-				noneZero(t, path+"."+field.Name, v.Field(i))
+				checkNoZeroFields(t, path+"."+field.Name, v.Field(i))
 			}
 		}
 	case reflect.Slice:
@@ -85,7 +85,7 @@
 			t.Errorf("%s: empty", path)
 		}
 		for i := range v.Len() {
-			noneZero(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+			checkNoZeroFields(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	default:
 		if v.IsZero() {
@@ -125,26 +125,26 @@
 	if err := json.Unmarshal(again, &readValues); err != nil {
 		t.Fatal(err)
 	}
-	contains(t, "", readValues, shippedValues)
-	same(t, "listen", c.Listen, "127.0.0.1:3306")
-	same(t, "accounts", c.Accounts, []Account{{User: "uploader", Password: "change me", Database: "stock"}})
-	same(t, "engines", len(c.Engines), 2)
-	same(t, "rules", len(c.Rules), 3)
-	same(t, "read_class", c.ReadClass, "read")
-	same(t, "load_class", c.LoadClass, "write")
-	same(t, "limits", c.Limits, Limits{Connections: 256, ConnectionsPerEngine: 32, MaxOpenRequests: 1024, KnownIDs: 4096, IdleMS: 60000, ResultMB: 16})
-	same(t, "settings.categories", len(c.Settings.Classes), 3)
+	checkContains(t, "", readValues, shippedValues)
+	checkEqual(t, "listen", c.Listen, "127.0.0.1:3306")
+	checkEqual(t, "accounts", c.Accounts, []Account{{User: "uploader", Password: "change me", Database: "stock"}})
+	checkEqual(t, "engines", len(c.Engines), 2)
+	checkEqual(t, "rules", len(c.Rules), 3)
+	checkEqual(t, "read_class", c.ReadClass, "read")
+	checkEqual(t, "load_class", c.LoadClass, "write")
+	checkEqual(t, "limits", c.Limits, Limits{Connections: 256, ConnectionsPerEngine: 32, MaxOpenRequests: 1024, KnownIDs: 4096, IdleMS: 60000, ResultMB: 16})
+	checkEqual(t, "settings.categories", len(c.Settings.Classes), 3)
 }
 
-// contains reports what is wanted and not there. There may be more keys, with zero
+// checkContains reports what is wanted and not there. There may be more keys, with zero
 // values.
-func contains(t *testing.T, path string, got, want any) {
+func checkContains(t *testing.T, path string, got, want any) {
 	t.Helper()
 	switch want := want.(type) {
 	case map[string]any:
 		got, _ := got.(map[string]any)
 		for key, v := range want {
-			contains(t, path+"."+key, got[key], v)
+			checkContains(t, path+"."+key, got[key], v)
 		}
 	case []any:
 		got, _ := got.([]any)
@@ -153,33 +153,33 @@
 			return
 		}
 		for i, v := range want {
-			contains(t, fmt.Sprintf("%s[%d]", path, i), got[i], v)
+			checkContains(t, fmt.Sprintf("%s[%d]", path, i), got[i], v)
 		}
 	default:
-		same(t, path, got, want)
+		checkEqual(t, path, got, want)
 	}
 }
 
 // TestCompatCounters holds the JSON of the counters.
 func TestCompatCounters(t *testing.T) {
 	front := ServerCounters{
-		Connections:     1,
-		TooMany:         2,
-		Denied:          3,
-		Malformed:       4,
-		Unsupported:     5,
-		Queries:         6,
-		Prepares:        7,
-		Executes:        8,
-		Served:          9,
-		Rejected:        10,
-		Failed:          11,
-		KnownIDs:        12,
-		Abandoned:       13,
-		AcceptErrors:    14,
-		Evicted:         15,
-		LeaseDecisions:  16,
-		LeaseDecisionMS: 17.5,
+		Connections:        1,
+		TooManyConnections: 2,
+		DeniedLogins:       3,
+		Malformed:          4,
+		Unsupported:        5,
+		Queries:            6,
+		Prepares:           7,
+		Executes:           8,
+		Served:             9,
+		Rejected:           10,
+		Failed:             11,
+		RepeatedLoads:      12,
+		Abandoned:          13,
+		AcceptErrors:       14,
+		EvictedConnections: 15,
+		LeaseDecisions:     16,
+		LeaseDecisionMS:    17.5,
 	}
 	engines := PoolCounters{
 		Dials:           21,
@@ -189,11 +189,11 @@
 		Queries:         25,
 		Kills:           26,
 		HandlesClosed:   27,
-		Lost:            28,
+		LostAfterWrite:  28,
 		LostBeforeWrite: 29,
 	}
-	noneZero(t, "front", reflect.ValueOf(front))
-	noneZero(t, "engines", reflect.ValueOf(engines))
+	checkNoZeroFields(t, "front", reflect.ValueOf(front))
+	checkNoZeroFields(t, "engines", reflect.ValueOf(engines))
 	text, err := json.MarshalIndent(map[string]any{"front": front, "engines": engines, "without claims": ServerCounters{}}, "", "  ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/mysql/disconnect.go
+++ b/internal/mysql/disconnect.go
@@ -9,11 +9,11 @@
 
 const discardBufferBytes = 32 << 10
 
-// disconnectWatch reads on while a client's statement runs, so that a disconnect
+// disconnectWatcher reads on while a client's statement runs, so that a disconnect
 // is noticed behind whatever the client has sent ahead: up to a packet of that is
 // buffered, and if more comes the current answer is the last. Nothing else may
 // read until stop has returned.
-type disconnectWatch struct {
+type disconnectWatcher struct {
 	client       *client
 	disconnected chan struct{} // closed if the client disconnects
 	done         chan struct{} // closed when nothing is read any more
@@ -21,20 +21,20 @@
 }
 
 // watchDisconnect begins to read on.
-func (c *client) watchDisconnect() *disconnectWatch {
-	w := &disconnectWatch{client: c, disconnected: make(chan struct{}), done: make(chan struct{})}
+func (c *client) watchDisconnect() *disconnectWatcher {
+	w := &disconnectWatcher{client: c, disconnected: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
 // stop ends the watch by a read deadline that is now.
-func (w *disconnectWatch) stop() {
+func (w *disconnectWatcher) stop() {
 	w.stopping.Store(true)
 	_ = w.client.stream.conn.SetReadDeadline(time.Now())
 	<-w.done
 }
 
-func (w *disconnectWatch) run() {
+func (w *disconnectWatcher) run() {
 	defer close(w.done)
 	for {
 		err := w.client.readAhead()
--- a/internal/mysql/disconnect_test.go
+++ b/internal/mysql/disconnect_test.go
@@ -10,8 +10,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// disconnections are the ways in which a client goes while its statement is queued.
-var disconnections = map[string]func(c *mysql.RawClient){
+// disconnectMethods are the ways in which a client goes while its statement is queued.
+var disconnectMethods = map[string]func(c *mysql.RawClient){
 	"closed":            func(c *mysql.RawClient) {},
 	"reset":             func(c *mysql.RawClient) { _ = c.SetLinger(0) },
 	"behind a command":  func(c *mysql.RawClient) { _ = c.Send("INSERT INTO trips_1.t VALUES ('ahead')") },
@@ -26,7 +26,7 @@
 // load is queued behind another one of its key, however it disconnects, the load never
 // begins, the one behind it goes on, and its id is free again.
 func TestDisconnectedClientsLoadNeverBegins(t *testing.T) {
-	for name, disconnect := range disconnections {
+	for name, disconnect := range disconnectMethods {
 		t.Run(name, func(t *testing.T) { checkDisconnectWhileQueued(t, disconnect) })
 	}
 }
@@ -39,7 +39,7 @@
 		c.Settings.Classes[1].LatencyObjectiveMS = 20000
 	})
 	release := make(chan bool)
-	d.set(func(step, sql string) string {
+	d.setBehaviour(func(step, sql string) string {
 		if strings.Contains(sql, "slow") {
 			<-release
 		}
--- a/internal/mysql/fleet_test.go
+++ b/internal/mysql/fleet_test.go
@@ -106,7 +106,7 @@
 
 func startLoadFleet(t *testing.T, options loadFleetOptions) *loadFleet {
 	t.Helper()
-	cfg, engines := configured(t, 3)
+	cfg, engines := newConfig(t, 3)
 	for _, e := range engines {
 		e.Set(runAtRandomLength(options.maxRunMS))
 	}
@@ -243,16 +243,16 @@
 		if answer == mayHaveRun {
 			results.mayHaveRun++
 		}
-		if violation := violationOf(answer, runs[loadStatement(load)]); violation != "" {
+		if violation := ruleViolation(answer, runs[loadStatement(load)]); violation != "" {
 			results.violations = append(results.violations, fmt.Sprintf("load %d %s", load, violation))
 		}
 	}
 	return results
 }
 
-// violationOf describes which rule a load with this answer and so many runs breaks;
+// ruleViolation describes which rule a load with this answer and so many runs breaks;
 // empty: none.
-func violationOf(answer loadAnswer, runs int) string {
+func ruleViolation(answer loadAnswer, runs int) string {
 	switch {
 	case runs > 1:
 		return fmt.Sprintf("ran %d times", runs)
@@ -269,17 +269,17 @@
 	}
 }
 
-// singleVoteMajority is a program that takes its own vote for a majority.
-var singleVoteMajority = mutanttest.Mutant{
+// singleVoteMajorityMutant is a program that takes its own vote for a majority.
+var singleVoteMajorityMutant = mutanttest.Mutant{
 	Name: "single vote majority",
 	File: "internal/lease/proposer.go",
 	Old:  "return majority(m.members.clusterSize)",
 	New:  "return 1",
 }
 
-// isolatedAndKilled cuts the first of three front ends off and kills it again and again,
+// isolationWithKills cuts the first of three front ends off and kills it again and again,
 // with loads on their way.
-func isolatedAndKilled() faultplan.Timeline {
+func isolationWithKills() faultplan.Timeline {
 	isolated := []int{0}
 	faults := []faultplan.Fault{{Kind: faultplan.Partition, StartMS: 0, DurationMS: 9000, Targets: isolated}}
 	for k := range 6 {
@@ -309,13 +309,13 @@
 			t.Errorf("%d of %d loads may have run: the run proves too little", results.mayHaveRun, *loadCount)
 		}
 	})
-	t.Run(singleVoteMajority.Name, func(t *testing.T) {
+	t.Run(singleVoteMajorityMutant.Name, func(t *testing.T) {
 		results := runLoadFleet(t, loadFleetOptions{
 			size:     3,
 			loads:    300,
 			maxRunMS: 800,
-			mutant:   &singleVoteMajority,
-			faults:   isolatedAndKilled(),
+			mutant:   &singleVoteMajorityMutant,
+			faults:   isolationWithKills(),
 		})
 		t.Logf("%d violations", len(results.violations))
 		if len(results.violations) == 0 {
--- a/internal/mysql/handles.go
+++ b/internal/mysql/handles.go
@@ -11,15 +11,15 @@
 // necessary. A connection that breaks before the execute is written leaves
 // nothing behind: even a load may go elsewhere.
 func (s *session) runPrepared(a *attempt, maxResultBytes int, now func() float64) (*Result, error) {
-	handle, refusal, err := s.findHandle(a.statement)
+	handle, engineErr, err := s.findHandle(a.statement)
 	if err != nil {
 		return nil, notWrittenError{err}
 	}
-	if refusal != nil {
-		if refusal.meansUnavailable() {
-			return nil, notWrittenError{refusal}
+	if engineErr != nil {
+		if engineErr.meansUnavailable() {
+			return nil, notWrittenError{engineErr}
 		}
-		return &Result{Err: refusal}, nil
+		return &Result{Err: engineErr}, nil
 	}
 	if err := a.markWritten(now()); err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 }
 
 // findHandle returns the engine's handle of a statement.
-func (s *session) findHandle(statement *Statement) (handle uint32, refusal *Error, err error) {
+func (s *session) findHandle(statement *Statement) (handle uint32, engineErr *Error, err error) {
 	handle, found := s.handles[statementKey(statement)]
 	if found {
 		return handle, nil, nil
@@ -50,7 +50,7 @@
 	return s.prepare(statement)
 }
 
-func (s *session) prepare(statement *Statement) (handle uint32, refusal *Error, err error) {
+func (s *session) prepare(statement *Statement) (handle uint32, engineErr *Error, err error) {
 	if len(s.handleOrder) >= maxHandles {
 		if err := s.closeOldestHandle(); err != nil {
 			return 0, nil, err
--- a/internal/mysql/harness_test.go
+++ b/internal/mysql/harness_test.go
@@ -27,8 +27,8 @@
 	db      *sql.DB
 }
 
-// settings are decision settings with a class for reads and one for loads.
-const settings = `{"categories":[
+// decisionSettings are decision settings with a class for reads and one for loads.
+const decisionSettings = `{"categories":[
 	{"name":"lookup","aimMs":1000,"hardLimitMs":20000,"value":1,"effect":"pure"},
 	{"name":"load","aimMs":3000,"hardLimitMs":20000,"value":6,"effect":"side_effect","sequential":true}],
 	"hostTypes":["std-8"],"localities":["here"],"discovery":"push","replicasOfMe":1,"tickMs":5,
@@ -36,12 +36,12 @@
 	"contract":{"graceToAnswerMs":20,"stopSendingWithinMs":500},
 	"limits":{"cancel":true,"retryAfter":true,"maxRetryAfterMs":500,"tryLimit":5,"connectTimeoutMs":5000}}`
 
-// configured returns a configuration with so many fake engines.
-func configured(t *testing.T, engines int) (cfg mysql.Config, list []*mysql.FakeEngine) {
+// newConfig returns a configuration with so many fake engines.
+func newConfig(t *testing.T, engines int) (cfg mysql.Config, list []*mysql.FakeEngine) {
 	t.Helper()
 	cfg = mysql.Config{Enabled: true, Listen: testprocess.FreeAddr(t), ReadClass: "lookup", LoadClass: "load",
 		Accounts: []mysql.Account{{User: "app", Password: "secret"}}}
-	if err := json.Unmarshal([]byte(settings), &cfg.Settings); err != nil {
+	if err := json.Unmarshal([]byte(decisionSettings), &cfg.Settings); err != nil {
 		t.Fatal(err)
 	}
 	for i := range engines {
@@ -56,18 +56,18 @@
 func deploy(t *testing.T, engines int, change func(*mysql.Config)) *deployment {
 	t.Helper()
 	d := &deployment{t: t}
-	d.cfg, d.engines = configured(t, engines)
+	d.cfg, d.engines = newConfig(t, engines)
 	if change != nil {
 		change(&d.cfg)
 	}
 	d.path = writeConfig(t, &d.cfg)
 	d.prog = testprocess.Start(t, []string{"PROXY_CONFIG="}, "-mysql", d.path)
-	d.db = open(t, "app:secret@tcp("+d.cfg.Listen+")/trips")
+	d.db = openDatabase(t, "app:secret@tcp("+d.cfg.Listen+")/trips")
 	return d
 }
 
-// write writes the configuration file again.
-func (d *deployment) write() {
+// rewriteConfig writes the configuration file again.
+func (d *deployment) rewriteConfig() {
 	d.t.Helper()
 	writeConfigTo(d.t, d.path, &d.cfg)
 }
@@ -91,8 +91,8 @@
 	}
 }
 
-// open opens a database at a front end and waits until a login succeeds.
-func open(t *testing.T, dsn string) *sql.DB {
+// openDatabase opens a database at a front end and waits until a login succeeds.
+func openDatabase(t *testing.T, dsn string) *sql.DB {
 	t.Helper()
 	db, err := sql.Open("mysql", dsn)
 	if err != nil {
@@ -114,15 +114,15 @@
 	return n
 }
 
-// set sets the behaviour of all engines.
-func (d *deployment) set(on func(step, sql string) string) {
+// setBehaviour sets the behaviour of all engines.
+func (d *deployment) setBehaviour(on func(step, sql string) string) {
 	for _, e := range d.engines {
 		e.Set(on)
 	}
 }
 
-// once makes one step of one statement fail, the first time only.
-func once(step, sql, act string) func(string, string) string {
+// failOnce makes one step of one statement fail, the first time only.
+func failOnce(step, sql, act string) func(string, string) string {
 	var mu sync.Mutex
 	done := false
 	return func(s, q string) string {
@@ -136,8 +136,8 @@
 	}
 }
 
-// code returns the number and SQL state of an error, 0 if it is not MySQL's.
-func code(err error) (uint16, string) {
+// mysqlError returns the number and SQL state of an error, 0 if it is not MySQL's.
+func mysqlError(err error) (uint16, string) {
 	var e *driver.MySQLError
 	if errors.As(err, &e) {
 		return e.Number, string(e.SQLState[:])
@@ -155,7 +155,7 @@
 
 func (d *deployment) wantCode(err error, number uint16, state string) {
 	d.t.Helper()
-	if n, s := code(err); n != number || s != state {
+	if n, s := mysqlError(err); n != number || s != state {
 		d.t.Errorf("error %v, want %d (%s)", err, number, state)
 	}
 }
--- a/internal/mysql/leases.go
+++ b/internal/mysql/leases.go
@@ -13,9 +13,9 @@
 	Release(name string, result lease.RunResult, ok []byte)
 }
 
-// leaseAnswerAllowanceMS is how much longer than a load's deadline its lease is
+// leaseDecisionAllowanceMS is how much longer than a load's deadline its lease is
 // waited for. Decisions come before that, unless this front end is ending.
-const leaseAnswerAllowanceMS = 500.0
+const leaseDecisionAllowanceMS = 500.0
 
 // acquireLease asks for a load's lease before anything is sent. If it is granted,
 // run is called with the time that remains, and calls its argument with the
@@ -25,7 +25,7 @@
 ) {
 	requestedAt := s.loop.Now()
 	decided := false
-	s.loop.After(t.deadlineMS+leaseAnswerAllowanceMS, func() {
+	s.loop.After(t.deadlineMS+leaseDecisionAllowanceMS, func() {
 		if !decided {
 			decided = true
 			done(outcome{err: s.rejection()})
@@ -55,7 +55,7 @@
 			s.Leases.Release(name, lease.NeverRan, nil)
 		}
 		done(s.decisionOutcome(decision))
-		s.forgetLoad(name) // the fleet remembers it, and may know more at the next repeat
+		s.removeLoad(name) // the fleet remembers it, and may know more at the next repeat
 	})
 }
 
--- a/internal/mysql/loads.go
+++ b/internal/mysql/loads.go
@@ -16,9 +16,9 @@
 // errIDConflict answers an id that was given to another statement before.
 var errIDConflict = &Error{codeInvalidHint, "42000", "this id was given to another statement"}
 
-// namedLoad is a load with an id, running or finished. Repeats of it get its
+// loadRecord is a load with an id, running or finished. Repeats of it get its
 // outcome.
-type namedLoad struct {
+type loadRecord struct {
 	fingerprint    string // of the statement
 	requestID      string // once it was submitted
 	finished       bool
@@ -66,7 +66,7 @@
 	if load == nil {
 		return false
 	}
-	s.Counters.KnownIDs++
+	s.Counters.RepeatedLoads++
 	switch {
 	case load.fingerprint != fingerprint:
 		done(outcome{err: errIDConflict})
@@ -80,8 +80,8 @@
 	return true
 }
 
-func (s *Server) addLoad(c *client, name, fingerprint string) *namedLoad {
-	load := &namedLoad{fingerprint: fingerprint, waitingClients: 1}
+func (s *Server) addLoad(c *client, name, fingerprint string) *loadRecord {
+	load := &loadRecord{fingerprint: fingerprint, waitingClients: 1}
 	c.load = load
 	s.loads[name] = load
 	s.loadOrder = append(s.loadOrder, name)
@@ -91,12 +91,12 @@
 
 // finishLoad keeps a load's outcome and answers all clients that wait for it. A
 // load that provably never ran is forgotten, so that a repeat may run.
-func (s *Server) finishLoad(name string, load *namedLoad, o outcome, done func(outcome)) {
+func (s *Server) finishLoad(name string, load *loadRecord, o outcome, done func(outcome)) {
 	load.finished = true
 	load.outcome = o
 	switch {
 	case o.err != nil && o.err.Code != codeMayHaveRun:
-		s.forgetLoad(name)
+		s.removeLoad(name)
 	case o.result != nil && o.result.rowBytes > maxRetainedResultBytes:
 		load.outcome = outcome{result: &Result{OK: okPacket(0, 0)}}
 	}
@@ -111,14 +111,14 @@
 func (s *Server) evictLoads() {
 	for i := 0; i < len(s.loadOrder) && len(s.loads) > s.config.Limits.KnownIDs; {
 		if s.loads[s.loadOrder[i]].finished {
-			s.forgetLoad(s.loadOrder[i])
+			s.removeLoad(s.loadOrder[i])
 			continue
 		}
 		i++
 	}
 }
 
-func (s *Server) forgetLoad(name string) {
+func (s *Server) removeLoad(name string) {
 	delete(s.loads, name)
 	s.loadOrder = slices.DeleteFunc(s.loadOrder, func(n string) bool { return n == name })
 }
--- a/internal/mysql/pool.go
+++ b/internal/mysql/pool.go
@@ -9,7 +9,7 @@
 	"dewhill/internal/dispatch"
 )
 
-const sweepIntervalMS = 1000
+const idleCheckIntervalMS = 1000
 
 // Statement is what an engine is to run.
 type Statement struct {
@@ -46,7 +46,7 @@
 // NewPool returns a pool without engines.
 func NewPool(loop EventLoop, limits Limits, connectTimeout time.Duration) *Pool {
 	p := &Pool{loop: loop, limits: limits, connectTimeout: connectTimeout, engines: map[string]*engine{}}
-	loop.After(sweepIntervalMS, p.sweep)
+	loop.After(idleCheckIntervalMS, p.closeIdleSessions)
 	return p
 }
 
@@ -70,8 +70,8 @@
 			continue
 		}
 		e.removed = true
-		p.withdraw(e)
-		p.forgetIfUnused(e)
+		p.quiesce(e)
+		p.removeIfUnused(e)
 	}
 	return infos
 }
@@ -86,15 +86,15 @@
 	e.Engine = endpoint
 	e.removed = false
 	if moved || e.draining() {
-		p.withdraw(e)
+		p.quiesce(e)
 	}
 }
 
-// withdraw cancels what is not written yet and closes sessions that are not in
+// quiesce cancels what is not written yet and closes sessions that are not in
 // use: a connection may come up long after the engine got nothing new.
-func (p *Pool) withdraw(e *engine) {
+func (p *Pool) quiesce(e *engine) {
 	for _, a := range e.attempts {
-		a.cancelUnwritten()
+		a.cancelIfUnwritten()
 	}
 	for _, s := range slices.Clone(e.sessions) {
 		if !s.busy {
@@ -103,15 +103,15 @@
 	}
 }
 
-// forgetIfUnused forgets a removed engine without sessions.
-func (p *Pool) forgetIfUnused(e *engine) {
+// removeIfUnused forgets a removed engine without sessions.
+func (p *Pool) removeIfUnused(e *engine) {
 	if e.removed && len(e.sessions) == 0 {
 		delete(p.engines, e.ID)
 	}
 }
 
-// sweep closes sessions that have been idle for too long.
-func (p *Pool) sweep() {
+// closeIdleSessions closes sessions that have been idle for too long.
+func (p *Pool) closeIdleSessions() {
 	for _, e := range p.engines {
 		for _, s := range slices.Clone(e.sessions) {
 			if !s.busy && p.loop.Now()-s.idleSinceMS > p.limits.IdleMS {
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	p.loop.After(sweepIntervalMS, p.sweep)
+	p.loop.After(idleCheckIntervalMS, p.closeIdleSessions)
 }
 
 // closeSession lets a session end after its statement, if it has one.
--- a/internal/mysql/program_test.go
+++ b/internal/mysql/program_test.go
@@ -67,7 +67,7 @@
 // prepare and execute, and which so never ran, runs on another engine, once.
 func TestConnectionBreaksAfterPrepare(t *testing.T) {
 	d := deploy(t, 2, nil)
-	d.set(once("prepare", "INSERT", "die"))
+	d.setBehaviour(failOnce("prepare", "INSERT", "die"))
 	d.exec("INSERT INTO trips_1.t VALUES (?)", 5)
 	d.wantRan("INSERT", 1)
 	// Sessions that hold the handle may have been closed by their engine since.
@@ -82,13 +82,13 @@
 func TestConnectionBreaksAfterExecute(t *testing.T) {
 	d := deploy(t, 2, nil)
 	for _, act := range []string{"die", "run-die"} {
-		d.set(once("execute", "INSERT INTO trips_1."+act, act))
+		d.setBehaviour(failOnce("execute", "INSERT INTO trips_1."+act, act))
 		_, err := d.db.Exec("INSERT INTO trips_1."+act+" VALUES (?)", 5)
 		d.wantCode(err, 1180, "08007")
 	}
 	d.wantRan("INSERT INTO trips_1.die", 0)
 	d.wantRan("INSERT INTO trips_1.run-die", 1)
-	d.set(once("execute", "SELECT", "run-die"))
+	d.setBehaviour(failOnce("execute", "SELECT", "run-die"))
 	var id, null any
 	var n, v int
 	if err := d.db.QueryRow("SELECT a FROM trips_1.t WHERE b = ?", 7).Scan(&id, &n, &null, &v); err != nil || v != 7 {
@@ -126,7 +126,7 @@
 			d.cfg.Engines[i].State = "leaving"
 		}
 	}
-	d.write()
+	d.rewriteConfig()
 	text, err := os.ReadFile(d.path)
 	if err != nil {
 		t.Fatal(err)
@@ -150,7 +150,7 @@
 // nothing.
 func TestEngineForgetsHandle(t *testing.T) {
 	d := deploy(t, 2, nil)
-	d.set(once("execute", "INSERT", "error 1243"))
+	d.setBehaviour(failOnce("execute", "INSERT", "error 1243"))
 	d.exec("INSERT INTO trips_1.t VALUES (?)", 1)
 	d.wantRan("INSERT", 1)
 }
@@ -159,7 +159,7 @@
 // told to stop.
 func TestDeadline(t *testing.T) {
 	d := deploy(t, 1, nil)
-	d.set(func(step, q string) string {
+	d.setBehaviour(func(step, q string) string {
 		if step != "prepare" && strings.Contains(q, "slow") {
 			return "hang"
 		}
@@ -178,7 +178,7 @@
 func TestClientDisconnects(t *testing.T) {
 	d := deploy(t, 1, nil)
 	running := make(chan struct{}, 1)
-	d.set(func(step, q string) string {
+	d.setBehaviour(func(step, q string) string {
 		if step != "query" || !strings.Contains(q, "slow") {
 			return ""
 		}
@@ -229,7 +229,7 @@
 		}
 	}
 	d.wantRan("/* dewhill: id=up-1", 1)
-	d.set(once("execute", "/* dewhill: id=up-2", "run-die"))
+	d.setBehaviour(failOnce("execute", "/* dewhill: id=up-2", "run-die"))
 	for range 2 {
 		d.wantCode(exec("up-2", "a"), 1180, "08007")
 	}
@@ -275,7 +275,7 @@
 	_, err := d.db.Exec("/* dewhill: class=lookup */ DELETE FROM trips_1.t")
 	d.wantCode(err, 1231, "42000")
 	d.exec("SELECT broken FROM t")
-	d.set(func(string, string) string { return "error 1146" })
+	d.setBehaviour(func(string, string) string { return "error 1146" })
 	_, err = d.db.Exec("SELECT a FROM gone")
 	d.wantCode(err, 1146, "HY000")
 	if d.ran("BEGIN")+d.ran("DELETE")+d.ran("SET") != 0 {
@@ -296,7 +296,7 @@
 	running := 0
 	maxRunning := 0
 	var order []string
-	d.set(func(step, q string) string {
+	d.setBehaviour(func(step, q string) string {
 		if step == "query" {
 			mu.Lock()
 			running++
@@ -374,7 +374,7 @@
 		t.Fatalf("%v: %s", err, report.String())
 	}
 	testprocess.Start(t, []string{"PROXY_CONFIG="}, "-mysql", testprocess.WriteTempFile(t, "mysql.json", file.String()))
-	db := open(t, "gate:@tcp("+listen+")/")
+	db := openDatabase(t, "gate:@tcp("+listen+")/")
 	if _, err := db.Exec("INSERT INTO a_1.t VALUES (?)", 1); err != nil || e.Ran("INSERT") != 1 {
 		t.Errorf("ran %d times: %v", e.Ran("INSERT"), err)
 	}
--- a/internal/mysql/race_test.go
+++ b/internal/mysql/race_test.go
@@ -33,9 +33,9 @@
 func (c *RawClient) Send(sql string) error { return c.stream.sendCommand(comQuery, []byte(sql)) }
 
 // SendPartial sends the header of a command with a length, and so many bytes of it.
-func (c *RawClient) SendPartial(length, bytes int) {
+func (c *RawClient) SendPartial(length, sentBytes int) {
 	head := binary.LittleEndian.AppendUint32(nil, uint32(length))
-	_, _ = c.Write(append(head, make([]byte, bytes)...)) // the server may close meanwhile
+	_, _ = c.Write(append(head, make([]byte, sentBytes)...)) // the server may close meanwhile
 }
 
 // ReadOK reads an answer and reports whether it is an OK.
@@ -47,29 +47,29 @@
 // TestResultDuringInterrupt checks that a result that crosses the interruption of its
 // session counts, and that the session is not used any more.
 func TestResultDuringInterrupt(t *testing.T) {
-	h := &fakeLoop{now: 1000}
-	p := NewPool(h, Limits{ConnectionsPerEngine: 4}, 0)
+	loop := &fakeLoop{now: 1000}
+	p := NewPool(loop, Limits{ConnectionsPerEngine: 4}, 0)
 	p.SetEndpoints([]Engine{{ID: "e"}}, nil)
-	m := p.engines["e"]
-	s := &session{engine: m, busy: true, attempts: make(chan *attempt, 1)}
-	m.sessions = append(m.sessions, s)
+	e := p.engines["e"]
+	s := &session{engine: e, busy: true, attempts: make(chan *attempt, 1)}
+	e.sessions = append(e.sessions, s)
 	s.interrupt()
 	p.attemptEnded(&attempt{requestID: "q", session: s}, attemptDone{result: &Result{}})
-	if len(h.ended) != 1 || h.ended[0] != control.Served || !s.closed || len(m.sessions) != 0 {
-		t.Errorf("%v, closed %v, %d sessions", h.ended, s.closed, len(m.sessions))
+	if len(loop.ended) != 1 || loop.ended[0] != control.Served || !s.closed || len(e.sessions) != 0 {
+		t.Errorf("%v, closed %v, %d sessions", loop.ended, s.closed, len(e.sessions))
 	}
 }
 
-// TestStatementStartsInTime checks that a statement that is cancelled, or too late, is not
-// written.
-func TestStatementStartsInTime(t *testing.T) {
-	for _, k := range []struct {
+// TestLateOrCancelledStatementIsNotWritten checks that a statement
+// that is cancelled, or too late, is not written.
+func TestLateOrCancelledStatementIsNotWritten(t *testing.T) {
+	for _, test := range []struct {
 		writeByMS          float64
 		cancelled, written bool
 	}{{0, false, true}, {1000, false, true}, {999, false, false}, {0, true, false}} {
-		one := &attempt{writeByMS: k.writeByMS, cancelled: k.cancelled}
-		if err := one.markWritten(1000); (err == nil) != k.written || one.written != k.written {
-			t.Errorf("%+v: %v, written %v", k, err, one.written)
+		a := &attempt{writeByMS: test.writeByMS, cancelled: test.cancelled}
+		if err := a.markWritten(1000); (err == nil) != test.written || a.written != test.written {
+			t.Errorf("%+v: %v, written %v", test, err, a.written)
 		}
 	}
 }
@@ -81,12 +81,12 @@
 	for name, list := range map[string][]Engine{"drains": {{ID: "e", State: "leaving"}}, "moves": {{ID: "e", Address: "other"}}, "removed": nil} {
 		p := NewPool(&fakeLoop{now: 1000}, Limits{ConnectionsPerEngine: 4}, 0)
 		p.SetEndpoints([]Engine{{ID: "e"}}, nil)
-		m := p.engines["e"]
-		s := &session{engine: m, busy: true}
+		e := p.engines["e"]
+		s := &session{engine: e, busy: true}
 		waiting := &attempt{requestID: "waiting", session: s}
 		inFlight := &attempt{requestID: "in flight", session: s, written: true}
-		m.sessions = []*session{s}
-		m.attempts = map[attemptKey]*attempt{waiting.key(): waiting, inFlight.key(): inFlight}
+		e.sessions = []*session{s}
+		e.attempts = map[attemptKey]*attempt{waiting.key(): waiting, inFlight.key(): inFlight}
 		p.SetEndpoints(list, nil)
 		if waiting.markWritten(0) == nil || inFlight.cancelled {
 			t.Errorf("%s: the waiting one is cancelled %v, the one in flight %v", name, waiting.cancelled, inFlight.cancelled)
--- a/internal/mysql/server.go
+++ b/internal/mysql/server.go
@@ -56,8 +56,8 @@
 	config           *Config
 	accounts         []Account
 	clients          map[*client]bool
-	loads            map[string]*namedLoad // by account and id
-	loadOrder        []string              // their names, oldest first
+	loads            map[string]*loadRecord // by account and id
+	loadOrder        []string               // their names, oldest first
 	lastConnectionID uint32
 	lastRequestID    uint64
 	shuttingDown     atomic.Bool
@@ -70,7 +70,7 @@
 		config:   config,
 		accounts: config.Accounts,
 		clients:  map[*client]bool{},
-		loads:    map[string]*namedLoad{},
+		loads:    map[string]*loadRecord{},
 	}
 }
 
@@ -100,7 +100,7 @@
 	s.clients[c] = true
 	tooMany := len(s.clients) > s.config.Limits.Connections && !s.evict()
 	if tooMany {
-		s.Counters.TooMany++
+		s.Counters.TooManyConnections++
 	}
 	go c.serve(tooMany)
 }
@@ -119,7 +119,7 @@
 	if oldest == nil {
 		return false
 	}
-	s.Counters.Evicted++
+	s.Counters.EvictedConnections++
 	delete(s.clients, oldest)
 	_ = oldest.stream.conn.Close()
 	return true
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -9,7 +9,7 @@
 const (
 	maxEnginePacketBytes = 1 << 24
 	logInTimeout         = 2 * time.Second // beyond the time for the connection
-	deadlineAllowance    = time.Second     // for an engine's answer after the request's deadline
+	replyAllowance       = time.Second     // for an engine's answer after the request's deadline
 	attemptQueueLength   = 1
 )
 
@@ -73,7 +73,7 @@
 	done := attemptDone{
 		result:   result,
 		err:      err,
-		broken:   err != nil && !errors.Is(err, errNotStarted),
+		broken:   err != nil && !errors.Is(err, errNotWritten),
 		counters: s.counters,
 	}
 	s.counters = PoolCounters{}
@@ -87,7 +87,7 @@
 		}
 	}
 	remainingMS := max(1, a.deadlineMS-p.loop.Now())
-	timeout := time.Duration(remainingMS)*time.Millisecond + deadlineAllowance
+	timeout := time.Duration(remainingMS)*time.Millisecond + replyAllowance
 	_ = s.stream.conn.SetDeadline(time.Now().Add(timeout))
 	result, err := s.runStatement(a, p.limits.ResultMB<<20, p.loop.Now)
 	_ = s.stream.conn.SetDeadline(time.Time{})
@@ -125,12 +125,12 @@
 // error is in the result.
 func (s *session) runStatement(a *attempt, maxResultBytes int, now func() float64) (*Result, error) {
 	statement := a.statement
-	refusal, err := s.selectDatabase(statement.Database)
+	engineErr, err := s.selectDatabase(statement.Database)
 	if err != nil {
 		return nil, notWrittenError{err}
 	}
-	if refusal != nil {
-		return &Result{Err: refusal}, nil
+	if engineErr != nil {
+		return &Result{Err: engineErr}, nil
 	}
 	if statement.Prepared {
 		return s.runPrepared(a, maxResultBytes, now)
@@ -146,7 +146,7 @@
 }
 
 // selectDatabase changes the session's database if necessary.
-func (s *session) selectDatabase(database string) (refusal *Error, err error) {
+func (s *session) selectDatabase(database string) (engineErr *Error, err error) {
 	if database == s.database || database == "" {
 		return nil, nil
 	}
--- a/internal/mysql/submit.go
+++ b/internal/mysql/submit.go
@@ -7,7 +7,7 @@
 	"dewhill/internal/dispatch"
 )
 
-// outcome is a statement's final answer: a result or an error.
+// outcome is a statement's final response: a result or an error.
 type outcome struct {
 	result *Result
 	err    *Error
@@ -63,36 +63,36 @@
 	case c.load != nil:
 		c.load.requestID = request.ID
 	}
-	repeatable := s.class(t).Idempotency == idempotent
-	err := s.loop.Submit(request, statement, func(answer dispatch.Response, result any) {
-		done(s.finalOutcome(answer, result, repeatable))
+	isIdempotent := s.class(t).Idempotency == idempotent
+	err := s.loop.Submit(request, statement, func(response dispatch.Response, result any) {
+		done(s.finalOutcome(response, result, isIdempotent))
 	})
 	if err != nil {
 		done(outcome{err: &Error{codeFailed, "58000", err.Error()}})
 	}
 }
 
-// finalOutcome words an answer for the client.
-func (s *Server) finalOutcome(answer dispatch.Response, result any, repeatable bool) outcome {
-	switch answer.Outcome {
+// finalOutcome words a response for the client.
+func (s *Server) finalOutcome(response dispatch.Response, result any, isIdempotent bool) outcome {
+	switch response.Outcome {
 	case dispatch.Served:
 		s.Counters.Served++
 		r, _ := result.(*Result)
 		return outcome{result: r}
 	case dispatch.Rejected:
 		s.Counters.Rejected++
-		return outcome{err: rejectionAfter(answer.RetryAfterMS)}
+		return outcome{err: rejectionAfter(response.RetryAfterMS)}
 	default:
 		s.Counters.Failed++
-		return outcome{err: failure(answer, repeatable)}
+		return outcome{err: failure(response, isIdempotent)}
 	}
 }
 
-func failure(answer dispatch.Response, repeatable bool) *Error {
+func failure(response dispatch.Response, isIdempotent bool) *Error {
 	switch {
-	case answer.MayHaveRun && !repeatable:
+	case response.MayHaveRun && !isIdempotent:
 		return mayHaveRun()
-	case answer.DeadlinePassed:
+	case response.DeadlinePassed:
 		return &Error{codeDeadline, "HYT00", "the deadline came before an answer"}
 	default:
 		return &Error{codeFailed, "58000", "failed: no engine could answer"}
