--- a/internal/mysql/accept_test.go
+++ b/internal/mysql/accept_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// failingListener is a listener of a process that is out of descriptors for so many
-// accepts, and is closed then.
+// failingListener fails the given number of Accept calls as if the process were out of
+// file descriptors, and then behaves like a closed listener.
 type failingListener struct {
 	net.Listener
 	failures int
@@ -21,17 +21,17 @@
 	return nil, syscall.EMFILE
 }
 
-// postingLoop runs what is posted at once.
+// postingLoop is a fakeLoop that runs posted functions immediately.
 type postingLoop struct{ fakeLoop }
 
 func (loop *postingLoop) Post(f func()) { f() }
 
-// TestFailedAcceptsAreCounted checks that the server counts failed accepts, but not the
-// listener's close.
+// TestFailedAcceptsAreCounted checks that the server counts failed Accept calls, except
+// the one that fails because the listener was closed.
 func TestFailedAcceptsAreCounted(t *testing.T) {
 	server := NewServer(&postingLoop{}, &Config{})
 	server.Serve(&failingListener{failures: 3})
 	if server.Counters.AcceptErrors != 3 {
-		t.Errorf("%d accept errors", server.Counters.AcceptErrors)
+		t.Errorf("%d accept errors counted, want 3", server.Counters.AcceptErrors)
 	}
 }
--- a/internal/mysql/attempt.go
+++ b/internal/mysql/attempt.go
@@ -9,22 +9,22 @@
 	"dewhill/internal/dispatch"
 )
 
-// attempt is an attempt of a request. The event loop cancels it and its session's
-// goroutine writes its statement, so what both have done is guarded.
+// attempt is an attempt of a request. The event loop cancels it, and the goroutine
+// of its session writes its statement. The mutex guards the fields that both use.
 type attempt struct {
 	requestID  string
 	number     int
 	statement  *Statement
 	session    *session
 	deadlineMS float64
-	writeByMS  float64 // the statement must not be written later; 0: any time
+	writeByMS  float64 // the statement must not be written after this time; 0: no limit
 
 	mu        sync.Mutex
-	written   bool // the statement was written, in part at least
+	written   bool // at least a part of the statement may have been written
 	cancelled bool
 }
 
-// attemptKey names an attempt among those of its engine.
+// attemptKey identifies an attempt among the attempts of its engine.
 type attemptKey struct {
 	requestID string
 	number    int
@@ -32,17 +32,18 @@
 
 func (a *attempt) key() attemptKey { return attemptKey{a.requestID, a.number} }
 
-// notWrittenError wraps an error before the statement was written: it never ran.
+// notWrittenError wraps an error that proves that the statement did not run: the
+// statement was not written, or the engine rejected it unexecuted.
 type notWrittenError struct{ error }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e notWrittenError) Unwrap() error { return e.error }
 
-var errNotWritten = errors.New("cancelled or too late before it began")
+var errNotWritten = errors.New("cancelled or past its write deadline")
 
-// markWritten marks that the statement is about to be written, or fails with
-// errNotWritten if nobody waits for it any more or it is too late: the
-// connection may have taken long to come up.
+// markWritten records that the statement is about to be written. It returns
+// errNotWritten if the attempt was cancelled or the latest time for the write has
+// passed, as the connection may have taken long to open.
 func (a *attempt) markWritten(nowMS float64) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -77,23 +78,25 @@
 	return a.cancelled
 }
 
-// attemptDone is how an attempt ended on its session.
+// attemptDone describes how an attempt ended on its session.
 type attemptDone struct {
 	result   *Result
-	err      error // nil: there is a result
-	broken   bool  // the session's connection can't be used any more
+	err      error // nil if there is a result
+	broken   bool  // the session's connection is not usable any more
 	counters PoolCounters
 }
 
-// attemptEnded takes how an attempt ended.
+// attemptEnded releases the session of an attempt that has ended, and reports the
+// result of the attempt to the event loop.
 func (p *Pool) attemptEnded(a *attempt, done attemptDone) {
 	p.Counters.add(done.counters)
 	s := a.session
 	delete(s.engine.attempts, a.key())
 	s.busy = false
 	s.idleSinceMS = p.loop.Now()
-	// A result may have come just before an interruption: the next statement would
-	// find a closed connection, which would count against the engine.
+	// A result may arrive just before the session is interrupted. Without this check,
+	// the next statement would fail on the closed connection, and the failure would
+	// count against the engine.
 	if done.broken || s.interrupted || s.engine.removed || s.engine.draining() {
 		p.closeSession(s)
 		p.removeIfUnused(s.engine)
@@ -107,7 +110,8 @@
 	p.loop.AttemptEnded(ended, nil)
 }
 
-// attemptResult returns an attempt's result. What was not written never ran.
+// attemptResult returns the result of an attempt for the decision logic, and counts
+// and logs failures. A statement that was not written never ran.
 func (p *Pool) attemptResult(s *session, done attemptDone, cancelled bool) control.Result {
 	var notWritten notWrittenError
 	switch {
@@ -119,16 +123,16 @@
 		return control.Served
 	case errors.As(done.err, &notWritten):
 		p.Counters.LostBeforeWrite++
-		p.loop.Logf("engine %s: before the statement: %v", s.engine.ID, done.err)
+		p.loop.Logf("engine %s: attempt failed before its statement ran: %v", s.engine.ID, done.err)
 		if cancelled || !done.broken || descriptors.Exhausted(done.err) {
-			return control.NotSent // not the engine's fault
+			return control.NotSent // does not count against the engine
 		}
 		return control.ConnectFailed
 	case cancelled:
 		return control.Cancelled
 	default:
 		p.Counters.LostAfterWrite++
-		p.loop.Logf("engine %s: after the statement was written: %v", s.engine.ID, done.err)
+		p.loop.Logf("engine %s: attempt failed after its statement was written: %v", s.engine.ID, done.err)
 		return control.Reset
 	}
 }
--- a/internal/mysql/compat_test.go
+++ b/internal/mysql/compat_test.go
@@ -12,7 +12,7 @@
 	"dewhill/internal/goldentest"
 )
 
-// checkEqual compares a field's value with the one that the golden file gives it.
+// checkEqual checks that a field has the value that the configuration file gives it.
 func checkEqual(t *testing.T, name string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestCompatConfig holds the keys of the configuration file. The golden file has every
-// key, none of them zero.
+// TestCompatConfig checks that the keys of the configuration file do not change. The
+// golden file contains every key with a value other than zero.
 func TestCompatConfig(t *testing.T) {
 	path := "testdata/compat/mysql.json"
 	text, err := os.ReadFile(path)
@@ -49,9 +49,9 @@
 	checkEqual(t, "deadline_ms", write.DeadlineMS, 1101.0)
 	checkEqual(t, "cost_ms", write.WorkMS, 102.0)
 	checkEqual(t, "memory_mb", write.MemoryMB, 103.0)
-	checkEqual(t, "match as compiled", write.match.String(), `(?is)into\s+stock`)
-	checkEqual(t, "class as found", write.class, 2)
-	checkEqual(t, "key's parameter", write.param, 2)
+	checkEqual(t, "compiled match", write.match.String(), `(?is)into\s+stock`)
+	checkEqual(t, "index of the class", write.class, 2)
+	checkEqual(t, "parameter number of the key", write.param, 2)
 	checkEqual(t, "key of the second rule", read.Key, "text:stock")
 	checkEqual(t, "read_class", c.ReadClass, "read")
 	checkEqual(t, "load_class", c.LoadClass, "fill")
@@ -66,11 +66,12 @@
 	}
 	again = append(again, '\n')
 	if !bytes.Equal(again, text) {
-		t.Errorf("written again:\n%s", again)
+		t.Errorf("the configuration differs from the golden file when it is written again:\n%s", again)
 	}
 }
 
-// checkNoZeroFields reports fields of the golden configuration that were not read.
+// checkNoZeroFields reports fields that are zero or empty, except those that were added
+// after the golden file was written.
 func checkNoZeroFields(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -82,24 +83,24 @@
 		}
 	case reflect.Slice:
 		if v.Len() == 0 {
-			t.Errorf("%s: empty", path)
+			t.Errorf("%s is empty", path)
 		}
 		for i := range v.Len() {
 			checkNoZeroFields(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	default:
 		if v.IsZero() {
-			t.Errorf("%s: zero", path)
+			t.Errorf("%s is zero", path)
 		}
 	}
 }
 
-// TestCompatShippedConfig checks that the shipped file leaves the front off, and that
-// each of its keys is read and keeps its value once an operator turns it on.
+// TestCompatShippedConfig checks that the shipped configuration file disables the MySQL
+// front end, and that after an operator enables it, each key is read with its value.
 func TestCompatShippedConfig(t *testing.T) {
 	shipped := "../../deploy/mysql.json"
 	if c, err := ReadConfig(shipped); c != nil || err != nil {
-		t.Fatalf("%+v, %v, want none", c, err)
+		t.Fatalf("ReadConfig returned %+v, %v, want no configuration and no error", c, err)
 	}
 	text, err := os.ReadFile(shipped)
 	if err != nil {
@@ -136,8 +137,8 @@
 	checkEqual(t, "settings.categories", len(c.Settings.Classes), 3)
 }
 
-// checkContains reports what is wanted and not there. There may be more keys, with zero
-// values.
+// checkContains checks that got, a decoded JSON value, contains all keys of want with
+// their values. It may contain further keys, because some zero values are written too.
 func checkContains(t *testing.T, path string, got, want any) {
 	t.Helper()
 	switch want := want.(type) {
@@ -160,7 +161,7 @@
 	}
 }
 
-// TestCompatCounters holds the JSON of the counters.
+// TestCompatCounters checks that the JSON of the counters does not change.
 func TestCompatCounters(t *testing.T) {
 	front := ServerCounters{
 		Connections:        1,
@@ -204,6 +205,6 @@
 	}
 	text = append(text, '\n')
 	if !bytes.Equal(text, want) {
-		t.Errorf("written:\n%s", text)
+		t.Errorf("the JSON of the counters differs from the golden file:\n%s", text)
 	}
 }
--- a/internal/mysql/counters.go
+++ b/internal/mysql/counters.go
@@ -1,11 +1,11 @@
 package mysql
 
-// ServerCounters count what the server receives and answers. Their JSON keys are
-// the operators' and do not change.
+// ServerCounters count events of the server for clients. Operators' tools read the
+// JSON keys, so they must not change.
 type ServerCounters struct {
 	Connections        int     `json:"Connections"`
-	TooManyConnections int     `json:"TooMany"` // connections over the limit
-	DeniedLogins       int     `json:"Denied"`  // logins
+	TooManyConnections int     `json:"TooMany"` // connections rejected because of the limit
+	DeniedLogins       int     `json:"Denied"`
 	Malformed          int     `json:"Malformed"`
 	Unsupported        int     `json:"Unsupported"`
 	Queries            int     `json:"Queries"`
@@ -14,16 +14,16 @@
 	Served             int     `json:"Served"`
 	Rejected           int     `json:"Refused"`
 	Failed             int     `json:"Failed"`
-	RepeatedLoads      int     `json:"KnownIDs"`  // loads whose id was given before
+	RepeatedLoads      int     `json:"KnownIDs"`  // loads whose id had been used before
 	Abandoned          int     `json:"Abandoned"` // requests whose client disconnected
 	AcceptErrors       int     `json:"AcceptErrors"`
-	EvictedConnections int     `json:"Evicted"`           // connections without a login, closed for others
-	LeaseDecisions     int     `json:"Claims,omitempty"`  // on loads with an id
-	LeaseDecisionMS    float64 `json:"ClaimMs,omitempty"` // that these took together
+	EvictedConnections int     `json:"Evicted"`           // not logged in; closed to admit others
+	LeaseDecisions     int     `json:"Claims,omitempty"`  // decisions on leases of loads with an id
+	LeaseDecisionMS    float64 `json:"ClaimMs,omitempty"` // total time until these decisions
 }
 
-// PoolCounters count what is sent to engines and what comes from them. Their JSON
-// keys are the operators' and do not change.
+// PoolCounters count events of the connections to engines. Operators' tools read the
+// JSON keys, so they must not change.
 type PoolCounters struct {
 	Dials           int `json:"Dials"`
 	DialFailures    int `json:"DialFailures"`
@@ -32,11 +32,11 @@
 	Queries         int `json:"Queries"`
 	Kills           int `json:"Kills"`
 	HandlesClosed   int `json:"HandlesClosed"`
-	LostAfterWrite  int `json:"Lost"`       // attempts whose connection broke after the statement was written
-	LostBeforeWrite int `json:"LostUnsent"` // and before
+	LostAfterWrite  int `json:"Lost"`       // attempts that failed after the statement was written
+	LostBeforeWrite int `json:"LostUnsent"` // attempts that failed before the statement ran
 }
 
-// add adds a session's counters.
+// add adds the counters that a session maintains.
 func (c *PoolCounters) add(other PoolCounters) {
 	c.Dials += other.Dials
 	c.DialFailures += other.DialFailures
--- a/internal/mysql/disconnect.go
+++ b/internal/mysql/disconnect.go
@@ -9,25 +9,26 @@
 
 const discardBufferBytes = 32 << 10
 
-// disconnectWatcher reads on while a client's statement runs, so that a disconnect
-// is noticed behind whatever the client has sent ahead: up to a packet of that is
-// buffered, and if more comes the current answer is the last. Nothing else may
-// read until stop has returned.
+// disconnectWatcher reads from a client's connection while its statement runs, to
+// detect a disconnect even if the client has sent further commands ahead. Up to
+// MaxPacketBytes of them are buffered. If the client sends more, the excess is
+// discarded and the connection is closed after the current response. Nothing else may
+// read from the connection until stop has returned.
 type disconnectWatcher struct {
 	client       *client
 	disconnected chan struct{} // closed if the client disconnects
-	done         chan struct{} // closed when nothing is read any more
+	done         chan struct{} // closed when the watcher has stopped reading
 	stopping     atomic.Bool
 }
 
-// watchDisconnect begins to read on.
+// watchDisconnect starts a disconnectWatcher.
 func (c *client) watchDisconnect() *disconnectWatcher {
 	w := &disconnectWatcher{client: c, disconnected: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// stop ends the watch by a read deadline that is now.
+// stop ends the pending read with a read deadline and waits for the watcher to end.
 func (w *disconnectWatcher) stop() {
 	w.stopping.Store(true)
 	_ = w.client.stream.conn.SetReadDeadline(time.Now())
@@ -45,7 +46,7 @@
 			close(w.disconnected)
 			return
 		}
-		// A deadline that stop did not set is that of an idle client.
+		// If stop did not set the deadline, it is the one for idle clients.
 		if !w.stopping.Load() {
 			_ = w.client.stream.conn.SetReadDeadline(time.Time{})
 		}
@@ -55,7 +56,7 @@
 	}
 }
 
-// readAhead reads once what the client sends ahead of an answer.
+// readAhead reads once from the client, before the response to its statement.
 func (c *client) readAhead() error {
 	if c.stream.buffer.Buffered() <= MaxPacketBytes {
 		return c.stream.buffer.Fill()
@@ -68,9 +69,9 @@
 	return err
 }
 
-// handleDisconnect cancels what the client no longer waits for. A load with an
-// id goes on if an attempt is in flight, as its outcome may be asked for again,
-// but no further one begins.
+// handleDisconnect cancels the client's request. A load with an id that no other
+// client waits for is detached instead: its attempts in flight continue, because a
+// client may repeat the load to get the outcome, but no further attempt starts.
 func (c *client) handleDisconnect() {
 	c.disconnected = true
 	c.busy = false
--- a/internal/mysql/disconnect_test.go
+++ b/internal/mysql/disconnect_test.go
@@ -10,7 +10,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// disconnectMethods are the ways in which a client goes while its statement is queued.
+// disconnectMethods are ways in which a client disconnects while its statement is
+// queued. The test closes the connection afterwards.
 var disconnectMethods = map[string]func(c *mysql.RawClient){
 	"closed":            func(c *mysql.RawClient) {},
 	"reset":             func(c *mysql.RawClient) { _ = c.SetLinger(0) },
@@ -22,9 +23,9 @@
 	},
 }
 
-// TestDisconnectedClientsLoadNeverBegins checks that when a client disconnects while its
-// load is queued behind another one of its key, however it disconnects, the load never
-// begins, the one behind it goes on, and its id is free again.
+// TestDisconnectedClientsLoadNeverBegins checks what happens when a client disconnects
+// while its load is queued behind another load with the same order key: the load never
+// starts, the next load in the queue runs, and the id can be used again.
 func TestDisconnectedClientsLoadNeverBegins(t *testing.T) {
 	for name, disconnect := range disconnectMethods {
 		t.Run(name, func(t *testing.T) { checkDisconnectWhileQueued(t, disconnect) })
@@ -35,7 +36,8 @@
 	t.Helper()
 	d := deploy(t, 1, func(c *mysql.Config) {
 		c.Rules = []mysql.Rule{{Verbs: []string{"insert"}, Class: "load", Key: "table", WorkMS: 1500}}
-		// No load is rejected from the queue while a busy machine passes on all those bytes.
+		// With a long objective, no queued load is rejected while a busy host transfers
+		// the bytes of the test.
 		c.Settings.Classes[1].LatencyObjectiveMS = 20000
 	})
 	release := make(chan bool)
@@ -48,22 +50,25 @@
 	if err := d.db.Ping(); err != nil {
 		t.Fatal(err)
 	}
-	accepted := 0
+	taken := 0
 	sendLoad := func(statement string) *mysql.RawClient {
 		t.Helper()
 		client := mysql.NewRawClient(t, d.cfg.Listen, "app", "secret")
 		if err := client.Send(statement); err != nil {
 			t.Fatal(err)
 		}
-		accepted++
-		d.waitForCounter(fmt.Sprintf(`"Taken":%d`, accepted))
+		taken++
+		d.waitForCounter(fmt.Sprintf(`"Taken":%d`, taken))
 		return client
 	}
-	const leaver = "INSERT INTO trips_1.t VALUES ('leaver')"
+	const abandoned = "INSERT INTO trips_1.t VALUES ('abandoned')"
 	first := sendLoad("INSERT INTO trips_1.t VALUES ('slow')")
-	leaving := []*mysql.RawClient{sendLoad(leaver), sendLoad("/* dewhill: id=batch-1 */ " + leaver)}
+	disconnecting := []*mysql.RawClient{
+		sendLoad(abandoned),
+		sendLoad("/* dewhill: id=batch-1 */ " + abandoned),
+	}
 	last := sendLoad("INSERT INTO trips_1.t VALUES ('last')")
-	for _, client := range leaving {
+	for _, client := range disconnecting {
 		go func() {
 			disconnect(client)
 			_ = client.Close()
@@ -72,17 +77,17 @@
 	d.waitForCounter(`"Abandoned":2`)
 	close(release)
 	if !first.ReadOK() || !last.ReadOK() {
-		t.Error("the first or the last was not served")
+		t.Error("the first or the last load was not served")
 	}
-	if n := d.ran(leaver); n != 0 {
-		t.Errorf("%d loads began although their clients had disconnected", n)
+	if n := d.ran(abandoned); n != 0 {
+		t.Errorf("%d loads ran although their clients had disconnected", n)
 	}
-	if _, err := d.db.Exec("/* dewhill: id=batch-1 */ " + leaver); err != nil {
-		t.Errorf("its id is not free: %v", err)
+	if _, err := d.db.Exec("/* dewhill: id=batch-1 */ " + abandoned); err != nil {
+		t.Errorf("a new load with the id of an abandoned load failed: %v", err)
 	}
 }
 
-// waitForCounter asks the program for its counters until they contain a text.
+// waitForCounter has the program log its counters until they contain a text.
 func (d *deployment) waitForCounter(text string) {
 	d.t.Helper()
 	testprocess.Until(d.t, text, func() bool {
--- a/internal/mysql/doc.go
+++ b/internal/mysql/doc.go
@@ -1,38 +1,39 @@
-// Package mysql is the MySQL front: a server for clients and a pool of
-// connections to engines, both speaking the MySQL client/server protocol with
-// prepared statements. It decides nothing about statements: those go through the
-// event loop like the platform's requests.
+// Package mysql is the MySQL front end: a server for clients and a pool of
+// connections to engines. Both use the MySQL client/server protocol with prepared
+// statements. The package makes no scheduling decisions. It submits statements to the
+// event loop, which handles them like any other request.
 //
 // The server:
 //
 //	server.go      accepting and ending connections
 //	client.go      a client's connection
-//	disconnect.go  noticing a disconnect while a statement runs, and its effects
+//	disconnect.go  detecting and handling a disconnect while a statement runs
 //	commands.go    the commands of the protocol
 //	prepared.go    prepared statements and their parameters
-//	submit.go      a statement's way to the event loop and back
+//	submit.go      submitting statements to the event loop, and their outcomes
 //	loads.go       loads with an id: repeats get the outcome of the first run
-//	leases.go      the same across all front ends
+//	leases.go      leases, which extend this to all front ends
+//	counters.go    counters of the server and the pool
 //
-// What a statement is:
+// Statements and configuration:
 //
-//	statement.go  what can be told from its text
-//	classify.go   its class, key, deadline and cost
+//	statement.go  inspection of a statement's text
+//	classify.go   the class, order key, deadline and cost of a statement
 //	config.go     the configuration file
 //
 // The engines:
 //
-//	pool.go     engines and the sessions that are chosen for attempts
-//	attempt.go  an attempt, from its start to its end
-//	kill.go     cancelling an attempt on a connection beside its own
-//	session.go  a connection to an engine, one statement at a time
-//	handles.go  statements that are prepared on a session
+//	pool.go     the engines, and selection of a session for an attempt
+//	attempt.go  the state and the result of an attempt
+//	kill.go     cancelling an attempt with KILL QUERY on a separate connection
+//	session.go  connections to engines, which run one statement at a time
+//	handles.go  handles of statements that are prepared on a session
 //	result.go   reading results
 //
 // The protocol:
 //
-//	protocol.go  its numbers
-//	stream.go    packets on a connection
+//	protocol.go  constants
+//	stream.go    reading and writing of packets
 //	payload.go   fields within packets
 //	auth.go      authentication, on both sides
 package mysql
--- a/internal/mysql/fleet_test.go
+++ b/internal/mysql/fleet_test.go
@@ -22,16 +22,17 @@
 )
 
 var (
-	loadCount      = flag.Int("loads", 300, "number of loads, each retried until it has a final answer")
+	loadCount      = flag.Int("loads", 300, "number of loads, each retried until it gets a final response")
 	frontEndCount  = flag.Int("fronts", 5, "number of front ends")
 	fleetSeed      = flag.Uint64("seed", 1, "seed of faults and clients")
 	faultsDuration = flag.Duration("lasts", 6*time.Second, "duration of the faults")
 )
 
-// loadFleetClients is the number of clients that send a fleet's loads.
+// loadFleetClients is the number of clients that send loads to the fleet.
 const loadFleetClients = 24
 
-// loadFleetCluster has short times, so that the fleet notices faults within a test.
+// loadFleetCluster is a cluster configuration with short times, so that the fleet
+// detects faults within the duration of a test.
 const loadFleetCluster = `on = true
 period_ms = 300
 retry_ms = 80
@@ -43,7 +44,7 @@
 on = true
 `
 
-// Error codes of the MySQL front end for a load.
+// Error codes with which the MySQL front end answers a load.
 const (
 	codeTooManyConnections = 1040
 	codeServerShutdown     = 1053
@@ -53,11 +54,12 @@
 	codeDeadline           = 3024
 )
 
-// retryableCodes are of errors after which nothing is known to have run, or the load
-// can be asked for again by its id.
+// retryableCodes are the codes of errors after which a client sends its load again:
+// the load did not run, or its id prevents a second run.
 var retryableCodes = []uint16{codeTooManyConnections, codeServerShutdown, codeFailed, codeRejected, codeDeadline}
 
-// loadAnswer is the final answer to a load: one of these, or the text of an error.
+// loadAnswer is the final response to a load: one of the constants below, or the text
+// of another error.
 type loadAnswer string
 
 const (
@@ -66,16 +68,17 @@
 	mayHaveRun loadAnswer = "may have run"
 )
 
-// loadFleetOptions describe a fleet and the loads that its clients send.
+// loadFleetOptions describe a fleet, the faults and the loads that clients send.
 type loadFleetOptions struct {
-	size     int
+	size     int // number of front ends
 	loads    int
-	maxRunMS int // a load runs for less
+	maxRunMS int // each step of a statement takes less than this
 	mutant   *mutanttest.Mutant
 	faults   faultplan.Timeline
 }
 
-// loadFleet is a fleet with the MySQL front end on, whose clients send loads with ids.
+// loadFleet is a fleet with the MySQL front end enabled, to which clients send loads
+// with ids.
 type loadFleet struct {
 	*faulttest.Fleet
 	t         *testing.T
@@ -85,14 +88,14 @@
 	answers   []loadAnswer
 }
 
-// loadResults are what became of a fleet's loads.
+// loadResults summarize the responses to the loads.
 type loadResults struct {
 	answered   int
 	mayHaveRun int
-	violations []string // of the rule that a load runs once and has one answer
+	violations []string // loads that ran twice, or whose response is missing or wrong
 }
 
-// runLoadFleet has clients send loads while faults are injected.
+// runLoadFleet starts a fleet and lets clients send loads while faults are injected.
 func runLoadFleet(t *testing.T, options loadFleetOptions) loadResults {
 	t.Helper()
 	f := startLoadFleet(t, options)
@@ -127,14 +130,15 @@
 		Args:          func(i int) []string { return []string{"-mysql", paths[i]} },
 	})
 	if _, converged := f.AwaitConvergence(testprocess.WaitTimeout); !converged {
-		t.Fatal("the views of the fleet differ after its start")
+		t.Fatal("the views of the front ends did not converge after the start")
 	}
 	testprocess.Until(t, "all front ends to vote", f.allVote)
 	f.openDatabases(addrs)
 	return f
 }
 
-// runAtRandomLength is a behaviour of an engine in which each step takes a random time.
+// runAtRandomLength returns a behaviour of an engine in which each step takes a random
+// time of less than maxMS.
 func runAtRandomLength(maxMS int) func(step, sql string) string {
 	rng := rand.New(rand.NewPCG(*fleetSeed, 9))
 	var mu sync.Mutex
@@ -147,7 +151,7 @@
 	}
 }
 
-// allVote reports whether all front ends take part in the leases' votes.
+// allVote reports whether all front ends vote on leases.
 func (f *loadFleet) allVote() bool {
 	for _, front := range f.Fronts {
 		var state struct{ Loads struct{ Votes bool } }
@@ -174,12 +178,13 @@
 	}
 }
 
-// loadStatement is the statement of a load, with its id.
+// loadStatement returns the statement of a load, which contains the load's id.
 func loadStatement(load int) string {
 	return fmt.Sprintf("INSERT /* dewhill: id=load-%d */ INTO trips_%d VALUES (%d)", load, load, load)
 }
 
-// sendLoads has the clients send all loads, spread over the faults and a time after.
+// sendLoads lets the clients send all loads. Each client pauses for a random time before
+// each load, so that the loads are spread over the duration of the faults.
 func (f *loadFleet) sendLoads() {
 	deadline := time.Now().Add(*faultsDuration + 2*testprocess.WaitTimeout)
 	maxPause := int64(2*(*faultsDuration)*loadFleetClients) / int64(f.options.loads)
@@ -196,8 +201,8 @@
 	clients.Wait()
 }
 
-// sendUntilAnswered sends a load through one front end after another until it has a
-// final answer.
+// sendUntilAnswered sends a load through random front ends until it gets a final
+// response or the deadline passes.
 func (f *loadFleet) sendUntilAnswered(statement string, rng *rand.Rand, deadline time.Time) loadAnswer {
 	for time.Now().Before(deadline) {
 		_, err := f.databases[rng.IntN(len(f.databases))].Exec(statement)
@@ -209,14 +214,14 @@
 	return unanswered
 }
 
-// finalAnswer is what the result of a statement says of its load: unanswered if it must
-// be sent again.
+// finalAnswer converts the error of a statement to the response to its load. It returns
+// unanswered if the load must be sent again.
 func finalAnswer(err error) loadAnswer {
 	var failure *driver.MySQLError
 	switch {
 	case err == nil:
 		return succeeded
-	case !errors.As(err, &failure): // of the connection
+	case !errors.As(err, &failure): // an error of the connection
 		return unanswered
 	case failure.Number == codeMayHaveRun:
 		return mayHaveRun
@@ -227,7 +232,7 @@
 	}
 }
 
-// results compares the answers with what the engines ran.
+// results compares the responses to the loads with the statements that the engines ran.
 func (f *loadFleet) results() loadResults {
 	runs := map[string]int{}
 	for _, e := range f.engines {
@@ -250,26 +255,27 @@
 	return results
 }
 
-// ruleViolation describes which rule a load with this answer and so many runs breaks;
-// empty: none.
+// ruleViolation describes how a load with this response and this number of runs breaks
+// the rule that each load runs at most once and gets one correct response. It returns an
+// empty string if the load keeps the rule.
 func ruleViolation(answer loadAnswer, runs int) string {
 	switch {
 	case runs > 1:
 		return fmt.Sprintf("ran %d times", runs)
 	case answer == unanswered:
-		return "has no answer"
+		return "has no final response"
 	case answer == mayHaveRun:
 		return ""
 	case answer != succeeded:
-		return fmt.Sprintf("was answered %q", answer)
+		return fmt.Sprintf("got the unexpected response %q", answer)
 	case runs != 1:
-		return fmt.Sprintf("succeeded and ran %d times", runs)
+		return fmt.Sprintf("was reported as successful, but ran %d times", runs)
 	default:
 		return ""
 	}
 }
 
-// singleVoteMajorityMutant is a program that takes its own vote for a majority.
+// singleVoteMajorityMutant is a program that counts a single vote as a majority.
 var singleVoteMajorityMutant = mutanttest.Mutant{
 	Name: "single vote majority",
 	File: "internal/lease/proposer.go",
@@ -277,8 +283,8 @@
 	New:  "return 1",
 }
 
-// isolationWithKills cuts the first of three front ends off and kills it again and again,
-// with loads on their way.
+// isolationWithKills returns faults that partition the first of three front ends from
+// the others and kill it repeatedly while it has loads in flight.
 func isolationWithKills() faultplan.Timeline {
 	isolated := []int{0}
 	faults := []faultplan.Fault{{Kind: faultplan.Partition, StartMS: 0, DurationMS: 9000, Targets: isolated}}
@@ -289,9 +295,10 @@
 	return faultplan.Timeline{Seed: *fleetSeed, Size: 3, Faults: faults}
 }
 
-// TestLoadsOfTheFleetRunOnce has clients retry loads with ids through other front ends
-// while front ends are killed, paused and cut off: none runs twice, and each has one
-// answer. A program in which one vote is a majority breaks that.
+// TestLoadsOfTheFleetRunOnce checks that no load with an id runs twice and that each gets
+// one correct response, although clients retry loads through other front ends while front
+// ends are killed, paused and partitioned. To show that the check can fail, it also
+// requires that a program in which one vote is a majority violates the rule.
 func TestLoadsOfTheFleetRunOnce(t *testing.T) {
 	t.Run("program", func(t *testing.T) {
 		faultsMS := float64(*faultsDuration / time.Millisecond)
@@ -301,12 +308,13 @@
 			maxRunMS: 150,
 			faults:   faultplan.Generate(*fleetSeed, *frontEndCount, 10, faultsMS),
 		})
-		t.Logf("%d loads answered, %d of them with %q", results.answered, results.mayHaveRun, mayHaveRun)
+		t.Logf("%d loads got a response, %d of them %q", results.answered, results.mayHaveRun, mayHaveRun)
 		if len(results.violations) > 0 {
 			t.Errorf("%d violations, the first: %s", len(results.violations), results.violations[0])
 		}
 		if results.mayHaveRun > *loadCount/4 {
-			t.Errorf("%d of %d loads may have run: the run proves too little", results.mayHaveRun, *loadCount)
+			t.Errorf("%d of %d loads got the response that they may have run: too many for a useful check",
+				results.mayHaveRun, *loadCount)
 		}
 	})
 	t.Run(singleVoteMajorityMutant.Name, func(t *testing.T) {
@@ -319,7 +327,7 @@
 		})
 		t.Logf("%d violations", len(results.violations))
 		if len(results.violations) == 0 {
-			t.Error("a program in which one vote is a majority passes the check")
+			t.Error("the check found no violation in a program in which one vote is a majority")
 		}
 	})
 }
--- a/internal/mysql/handles.go
+++ b/internal/mysql/handles.go
@@ -5,11 +5,11 @@
 	"fmt"
 )
 
-const maxHandles = 64 // prepared on one session
+const maxHandles = 64 // of prepared statements on one session
 
-// runPrepared runs a statement by its handle, which is prepared first if
-// necessary. A connection that breaks before the execute is written leaves
-// nothing behind: even a load may go elsewhere.
+// runPrepared runs a prepared statement. It prepares the statement on the session
+// first if necessary. If the connection breaks before the execute command is written,
+// the statement did not run, so even a load can be retried on another engine.
 func (s *session) runPrepared(a *attempt, maxResultBytes int, now func() float64) (*Result, error) {
 	handle, engineErr, err := s.findHandle(a.statement)
 	if err != nil {
@@ -36,12 +36,14 @@
 	return result, err
 }
 
-// meansUnknownHandle reports whether an engine no longer knows a handle.
+// meansUnknownHandle reports whether the error says that the engine no longer has a
+// handle or that the statement must be prepared again.
 func (e *Error) meansUnknownHandle() bool {
 	return e.Code == codeUnknownHandle || e.Code == codeNeedsReprepare
 }
 
-// findHandle returns the engine's handle of a statement.
+// findHandle returns the engine's handle of a statement, which it prepares if
+// necessary.
 func (s *session) findHandle(statement *Statement) (handle uint32, engineErr *Error, err error) {
 	handle, found := s.handles[statementKey(statement)]
 	if found {
@@ -86,7 +88,7 @@
 	return prepared.handle, nil, nil
 }
 
-// prepareOK is an engine's answer to prepare.
+// prepareOK is an engine's reply to a prepare command.
 type prepareOK struct {
 	handle  uint32
 	columns int
@@ -118,7 +120,8 @@
 	return nil
 }
 
-// skipDefinitions reads column definitions and the EOF behind them.
+// skipDefinitions reads and discards column definitions and the EOF packet after
+// them.
 func (s *session) skipDefinitions(count int) error {
 	if count == 0 {
 		return nil
--- a/internal/mysql/harness_test.go
+++ b/internal/mysql/harness_test.go
@@ -17,7 +17,7 @@
 	"dewhill/internal/testprocess"
 )
 
-// deployment is the program with its MySQL front and fake engines.
+// deployment is the program with its MySQL front end, and fake engines.
 type deployment struct {
 	t       *testing.T
 	prog    *testprocess.Process
@@ -27,7 +27,7 @@
 	db      *sql.DB
 }
 
-// decisionSettings are decision settings with a class for reads and one for loads.
+// decisionSettings are settings with one class for reads and one for loads.
 const decisionSettings = `{"categories":[
 	{"name":"lookup","aimMs":1000,"hardLimitMs":20000,"value":1,"effect":"pure"},
 	{"name":"load","aimMs":3000,"hardLimitMs":20000,"value":6,"effect":"side_effect","sequential":true}],
@@ -36,7 +36,8 @@
 	"contract":{"graceToAnswerMs":20,"stopSendingWithinMs":500},
 	"limits":{"cancel":true,"retryAfter":true,"maxRetryAfterMs":500,"tryLimit":5,"connectTimeoutMs":5000}}`
 
-// newConfig returns a configuration with so many fake engines.
+// newConfig starts the given number of fake engines and returns a configuration that
+// lists them.
 func newConfig(t *testing.T, engines int) (cfg mysql.Config, list []*mysql.FakeEngine) {
 	t.Helper()
 	cfg = mysql.Config{Enabled: true, Listen: testprocess.FreeAddr(t), ReadClass: "lookup", LoadClass: "load",
@@ -52,7 +53,8 @@
 	return cfg, list
 }
 
-// deploy starts the program, with its configuration changed by a test.
+// deploy starts fake engines and the program. If change is not nil, it modifies the
+// configuration first.
 func deploy(t *testing.T, engines int, change func(*mysql.Config)) *deployment {
 	t.Helper()
 	d := &deployment{t: t}
@@ -66,7 +68,7 @@
 	return d
 }
 
-// rewriteConfig writes the configuration file again.
+// rewriteConfig writes the current configuration to the configuration file.
 func (d *deployment) rewriteConfig() {
 	d.t.Helper()
 	writeConfigTo(d.t, d.path, &d.cfg)
@@ -91,7 +93,7 @@
 	}
 }
 
-// openDatabase opens a database at a front end and waits until a login succeeds.
+// openDatabase opens a database through a front end and waits until a login succeeds.
 func openDatabase(t *testing.T, dsn string) *sql.DB {
 	t.Helper()
 	db, err := sql.Open("mysql", dsn)
@@ -106,7 +108,7 @@
 	return db
 }
 
-// ran counts the runs of statements with a prefix.
+// ran returns how often the engines ran statements with a prefix.
 func (d *deployment) ran(prefix string) (n int) {
 	for _, e := range d.engines {
 		n += e.Ran(prefix)
@@ -121,7 +123,8 @@
 	}
 }
 
-// failOnce makes one step of one statement fail, the first time only.
+// failOnce returns a behaviour of engines in which the given step fails the first time
+// it is reached by a statement with the prefix sql. act says how the step fails.
 func failOnce(step, sql, act string) func(string, string) string {
 	var mu sync.Mutex
 	done := false
@@ -136,7 +139,7 @@
 	}
 }
 
-// mysqlError returns the number and SQL state of an error, 0 if it is not MySQL's.
+// mysqlError returns the number and SQLSTATE of a MySQL error, and 0 for other errors.
 func mysqlError(err error) (uint16, string) {
 	var e *driver.MySQLError
 	if errors.As(err, &e) {
@@ -145,7 +148,7 @@
 	return 0, ""
 }
 
-// exec runs a statement, which must succeed.
+// exec runs a statement and reports a test error if the statement fails.
 func (d *deployment) exec(statement string, args ...any) {
 	d.t.Helper()
 	if _, err := d.db.Exec(statement, args...); err != nil {
--- a/internal/mysql/kill.go
+++ b/internal/mysql/kill.go
@@ -10,8 +10,9 @@
 
 const killTimeout = 2 * time.Second // for the login and the command
 
-// CancelAttempt cancels an attempt. If its statement was written, the engine is
-// told on another connection, as the one that runs it can't take a command.
+// CancelAttempt cancels an attempt. If its statement was written, a KILL QUERY is
+// sent on another connection, because a connection that runs a statement accepts no
+// commands.
 func (p *Pool) CancelAttempt(cancel dispatch.CancelAttempt) {
 	e := p.engines[cancel.Engine]
 	if e == nil {
@@ -38,10 +39,11 @@
 	}()
 }
 
-// killQuery ends what runs on an engine's connection, and logs if it can't.
+// killQuery ends the statement that runs on the connection with this thread ID, and
+// logs a failure to do so.
 func (p *Pool) killQuery(e Engine, threadID uint32) {
 	if err := p.sendKill(e, threadID); err != nil {
-		p.loop.Post(func() { p.loop.Logf("engine %s: kill: %v", e.ID, err) })
+		p.loop.Post(func() { p.loop.Logf("engine %s: KILL QUERY failed: %v", e.ID, err) })
 	}
 }
 
--- a/internal/mysql/leases.go
+++ b/internal/mysql/leases.go
@@ -2,24 +2,27 @@
 
 import "dewhill/internal/lease"
 
-// Leases decide among all front ends who runs a load with an id. Its methods are
-// called on the event loop.
+// Leases grants leases across all front ends: only the front end with the lease of a
+// load runs it. Its methods are called on the event loop.
 type Leases interface {
-	// Acquire asks for the right to run a load, which is named by account and id,
-	// and whose statement has a fingerprint. decide is called once, on the event
-	// loop, within the timeout. isRetry: the client says that it tried before.
+	// Acquire requests the lease of a load. The name consists of the client's account
+	// and the load's id; the fingerprint is a hash of the statement. isRetry means that
+	// the client marked the load as a retry. Acquire calls decide once, on the event
+	// loop, within the timeout.
 	Acquire(name, fingerprint string, timeoutMS float64, isRetry bool, decide func(lease.Decision))
-	// Release notes how a load ended whose lease was granted, with its OK packet.
+	// Release reports how a load whose lease was granted has ended. ok is the OK packet
+	// of a load with the result Completed.
 	Release(name string, result lease.RunResult, ok []byte)
 }
 
-// leaseDecisionAllowanceMS is how much longer than a load's deadline its lease is
-// waited for. Decisions come before that, unless this front end is ending.
+// leaseDecisionAllowanceMS is how long after a load's deadline the decision on its
+// lease is awaited. Decisions arrive earlier, unless this front end is shutting down.
 const leaseDecisionAllowanceMS = 500.0
 
-// acquireLease asks for a load's lease before anything is sent. If it is granted,
-// run is called with the time that remains, and calls its argument with the
-// outcome.
+// acquireLease requests a load's lease before the load is sent. If the lease is
+// granted, acquireLease calls run with the time that remains until the deadline, and
+// run calls its own done argument with the outcome. Otherwise acquireLease calls done
+// with the outcome that follows from the decision.
 func (s *Server) acquireLease(name, fingerprint string, t treatment, done func(outcome),
 	run func(remainingMS float64, done func(outcome)),
 ) {
@@ -33,7 +36,7 @@
 	})
 	s.Leases.Acquire(name, fingerprint, t.deadlineMS, t.isRetry, func(decision lease.Decision) {
 		granted := decision.Kind == lease.Granted
-		if decided { // the client has been rejected: the load must not run any more
+		if decided { // the client got a rejection, so the load must not run any more
 			if granted {
 				s.Leases.Release(name, lease.NeverRan, nil)
 			}
@@ -55,12 +58,14 @@
 			s.Leases.Release(name, lease.NeverRan, nil)
 		}
 		done(s.decisionOutcome(decision))
-		s.removeLoad(name) // the fleet remembers it, and may know more at the next repeat
+		s.removeLoad(name) // the fleet keeps a record, so a repeat may get a more precise decision
 	})
 }
 
-// runResult returns what an outcome means for the lease, and the OK packet that
-// is kept of it. An engine's own error means that nothing was done.
+// runResult returns the result of a run for Leases.Release, and the OK packet to
+// keep. If the server answers with an error of its own other than codeMayHaveRun, the
+// load never ran. An error packet of the engine is part of a result and gives
+// Completed, although it means that the statement did nothing.
 func (o outcome) runResult() (lease.RunResult, []byte) {
 	switch {
 	case o.err != nil && o.err.Code == codeMayHaveRun:
@@ -74,7 +79,8 @@
 	}
 }
 
-// decisionOutcome words a decision other than a grant for the client.
+// decisionOutcome converts a decision other than a usable grant to the client's
+// outcome.
 func (s *Server) decisionOutcome(decision lease.Decision) outcome {
 	switch decision.Kind {
 	case lease.AlreadyCompleted:
--- a/internal/mysql/loads.go
+++ b/internal/mysql/loads.go
@@ -6,31 +6,33 @@
 	"dewhill/internal/simproto"
 )
 
-// maxRetainedResultBytes bounds the rows kept of a load with an id. Larger
-// results are answered with a bare OK when the load is repeated.
+// maxRetainedResultBytes limits the rows that are kept of a load with an id. If the
+// rows were larger, a repeat of the load gets an OK packet without rows.
 const maxRetainedResultBytes = 4 << 10
 
-// maxLoadIDBytes is the longest id of a load.
+// maxLoadIDBytes limits the length of a load's id.
 const maxLoadIDBytes = 128
 
-// errIDConflict answers an id that was given to another statement before.
+// errIDConflict is the response to a load whose id was given to another statement
+// before.
 var errIDConflict = &Error{codeInvalidHint, "42000", "this id was given to another statement"}
 
-// loadRecord is a load with an id, running or finished. Repeats of it get its
+// loadRecord is a load with an id, running or finished. Repeats of the load get its
 // outcome.
 type loadRecord struct {
 	fingerprint    string // of the statement
-	requestID      string // once it was submitted
+	requestID      string // empty until the load is submitted to the event loop
 	finished       bool
 	outcome        outcome
-	waitingClients int
-	waiters        []func(outcome)
+	waitingClients int             // connected clients that wait for the outcome
+	waiters        []func(outcome) // callbacks of repeats
 }
 
 func (s *Server) class(t treatment) *simproto.Class { return &s.config.Settings.Classes[t.class] }
 
-// submitLoad takes a load with an id: a repeat gets the outcome of the first run,
-// and where the fleet keeps leases, one of them decides who runs it.
+// submitLoad accepts a load with an id. A repeat gets the outcome of the first run.
+// If the fleet uses leases, the load runs only if this front end is granted its
+// lease.
 func (s *Server) submitLoad(c *client, statement *Statement, info *statementInfo, t treatment, done func(outcome)) {
 	name := c.user + "\x00" + t.loadID
 	fingerprint := fingerprintOf(statement)
@@ -44,7 +46,7 @@
 		return
 	}
 	s.acquireLease(name, fingerprint, t, finish, func(remainingMS float64, done func(outcome)) {
-		if load.waitingClients == 0 { // it does not begin
+		if load.waitingClients == 0 { // all clients have disconnected: the load is not started
 			done(outcome{err: s.rejection()})
 			return
 		}
@@ -58,9 +60,9 @@
 	return hashOf(append(text, encodeExecute(0, statement.Params)...))
 }
 
-// joinLoad answers a load whose id is known, now or when its run ends, and
-// reports whether it is known. A client that repeats a load must not make it run
-// twice.
+// joinLoad reports whether the server has a record of the load. If it has, the load
+// must not run again, and joinLoad calls done with the recorded outcome, now or when
+// the run ends.
 func (s *Server) joinLoad(c *client, name, fingerprint string, done func(outcome)) bool {
 	load := s.loads[name]
 	if load == nil {
@@ -89,8 +91,8 @@
 	return load
 }
 
-// finishLoad keeps a load's outcome and answers all clients that wait for it. A
-// load that provably never ran is forgotten, so that a repeat may run.
+// finishLoad records a load's outcome and answers all clients that wait for it. It
+// removes the record of a load that provably never ran, so that a repeat may run.
 func (s *Server) finishLoad(name string, load *loadRecord, o outcome, done func(outcome)) {
 	load.finished = true
 	load.outcome = o
@@ -107,7 +109,8 @@
 	load.waiters = nil
 }
 
-// evictLoads forgets the oldest finished loads over the limit.
+// evictLoads removes the records of the oldest finished loads while there are more
+// records than the limit.
 func (s *Server) evictLoads() {
 	for i := 0; i < len(s.loadOrder) && len(s.loads) > s.config.Limits.KnownIDs; {
 		if s.loads[s.loadOrder[i]].finished {
--- a/internal/mysql/pool.go
+++ b/internal/mysql/pool.go
@@ -11,7 +11,7 @@
 
 const idleCheckIntervalMS = 1000
 
-// Statement is what an engine is to run.
+// Statement is a statement for an engine to run.
 type Statement struct {
 	SQL      string
 	Database string
@@ -19,11 +19,11 @@
 	Params   []Param
 }
 
-// statementKey names a statement among an engine connection's handles.
+// statementKey returns the key of a statement in a session's handles.
 func statementKey(s *Statement) string { return s.Database + "\x00" + s.SQL }
 
-// Pool holds the connections to MySQL engines, with one statement at a time on
-// each. Its methods are called on the event loop.
+// Pool holds the connections to MySQL engines. Each connection runs one statement
+// at a time. The methods must be called on the event loop.
 type Pool struct {
 	Counters PoolCounters
 
@@ -33,7 +33,7 @@
 	engines        map[string]*engine
 }
 
-// engine is an engine and its sessions.
+// engine is a MySQL server with its sessions and its attempts in flight.
 type engine struct {
 	Engine
 	removed  bool
@@ -50,8 +50,9 @@
 	return p
 }
 
-// SetEndpoints takes the complete list of engines and returns it as the decisions
-// take it. The kinds are the settings' names of engine kinds, by index.
+// SetEndpoints replaces the list of engines. It returns the list in the form that
+// the decision logic takes. An engine's kind is given there as an index into kinds,
+// the names of the engine kinds in the settings.
 func (p *Pool) SetEndpoints(list []Engine, kinds []string) []control.EngineInfo {
 	var infos []control.EngineInfo
 	listed := map[string]bool{}
@@ -90,8 +91,9 @@
 	}
 }
 
-// quiesce cancels what is not written yet and closes sessions that are not in
-// use: a connection may come up long after the engine got nothing new.
+// quiesce cancels the attempts whose statement has not been written, and closes
+// the idle sessions. It must cancel them explicitly: a connection may be
+// established long after the engine stopped getting new statements.
 func (p *Pool) quiesce(e *engine) {
 	for _, a := range e.attempts {
 		a.cancelIfUnwritten()
@@ -103,14 +105,15 @@
 	}
 }
 
-// removeIfUnused forgets a removed engine without sessions.
+// removeIfUnused deletes an engine that is no longer listed and has no sessions.
 func (p *Pool) removeIfUnused(e *engine) {
 	if e.removed && len(e.sessions) == 0 {
 		delete(p.engines, e.ID)
 	}
 }
 
-// closeIdleSessions closes sessions that have been idle for too long.
+// closeIdleSessions closes the sessions that have been idle for longer than the
+// limit, and schedules the next check.
 func (p *Pool) closeIdleSessions() {
 	for _, e := range p.engines {
 		for _, s := range slices.Clone(e.sessions) {
@@ -122,7 +125,8 @@
 	p.loop.After(idleCheckIntervalMS, p.closeIdleSessions)
 }
 
-// closeSession lets a session end after its statement, if it has one.
+// closeSession removes a session from its engine. If the session is running a
+// statement, its connection is closed after that statement.
 func (p *Pool) closeSession(s *session) {
 	if s.closed {
 		return
@@ -133,7 +137,8 @@
 }
 
 // StartAttempt sends an attempt, whose work is a *Statement, on an idle session or
-// a new one. Its end is always reported, possibly before StartAttempt returns.
+// a new one. The end of the attempt is always reported to the event loop, possibly
+// before StartAttempt returns.
 func (p *Pool) StartAttempt(start dispatch.StartAttempt, _ int, work any) {
 	e := p.engines[start.Engine]
 	statement, _ := work.(*Statement)
@@ -142,7 +147,7 @@
 		return
 	}
 	s := p.selectSession(e, statement)
-	if s == nil { // by a limit of our own, which is not held against the engine
+	if s == nil { // a limit of the front end, which does not count against the engine
 		p.reportNotStarted(start, control.NotSent)
 		return
 	}
@@ -163,8 +168,9 @@
 	p.loop.AttemptEnded(dispatch.AttemptEnded{RequestID: start.RequestID, Attempt: start.Attempt, Result: result}, nil)
 }
 
-// selectSession returns an idle session, best one that has the statement's handle,
-// or a new one; nil if the engine has as many as it may.
+// selectSession returns an idle session, preferably one that has the statement's
+// handle, or a new session. It returns nil if all sessions are busy and their
+// number has reached the limit for one engine.
 func (p *Pool) selectSession(e *engine, statement *Statement) *session {
 	var best *session
 	for _, s := range e.sessions {
@@ -188,11 +194,11 @@
 	return s
 }
 
-// SetPriority does nothing: MySQL has no priorities.
+// SetPriority does nothing, because MySQL has no priorities.
 func (p *Pool) SetPriority(dispatch.SetPriority) {}
 
-// Probe reports how long a connection to an engine takes. MySQL engines send no
-// load reports.
+// Probe connects to an engine and reports how long that took. MySQL engines send
+// no load reports.
 func (p *Pool) Probe(id string) {
 	e := p.engines[id]
 	if e == nil {
--- a/internal/mysql/race_test.go
+++ b/internal/mysql/race_test.go
@@ -8,13 +8,14 @@
 	"dewhill/control"
 )
 
-// RawClient is a client that sends anything and need not wait for answers.
+// RawClient is a client that can send incomplete commands and need not wait for
+// responses.
 type RawClient struct {
 	*net.TCPConn
 	stream *stream
 }
 
-// NewRawClient logs in to a server.
+// NewRawClient connects to a server and logs in.
 func NewRawClient(t *testing.T, addr, user, password string) *RawClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -29,23 +30,25 @@
 	return c
 }
 
-// Send sends a statement without waiting for its answer.
+// Send sends a statement without waiting for the response.
 func (c *RawClient) Send(sql string) error { return c.stream.sendCommand(comQuery, []byte(sql)) }
 
-// SendPartial sends the header of a command with a length, and so many bytes of it.
+// SendPartial sends the header of a command of the given length and only the first
+// sentBytes of the command.
 func (c *RawClient) SendPartial(length, sentBytes int) {
 	head := binary.LittleEndian.AppendUint32(nil, uint32(length))
-	_, _ = c.Write(append(head, make([]byte, sentBytes)...)) // the server may close meanwhile
+	// An error does not matter: the server may close the connection during the write.
+	_, _ = c.Write(append(head, make([]byte, sentBytes)...))
 }
 
-// ReadOK reads an answer and reports whether it is an OK.
+// ReadOK reads a response and reports whether it is an OK packet.
 func (c *RawClient) ReadOK() bool {
 	p, err := c.stream.readPacket()
 	return err == nil && len(p) > 0 && p[0] == okMark
 }
 
-// TestResultDuringInterrupt checks that a result that crosses the interruption of its
-// session counts, and that the session is not used any more.
+// TestResultDuringInterrupt checks that a result that arrives while its session is
+// interrupted is reported as served, and that the session is not used any more.
 func TestResultDuringInterrupt(t *testing.T) {
 	loop := &fakeLoop{now: 1000}
 	p := NewPool(loop, Limits{ConnectionsPerEngine: 4}, 0)
@@ -56,12 +59,13 @@
 	s.interrupt()
 	p.attemptEnded(&attempt{requestID: "q", session: s}, attemptDone{result: &Result{}})
 	if len(loop.ended) != 1 || loop.ended[0] != control.Served || !s.closed || len(e.sessions) != 0 {
-		t.Errorf("%v, closed %v, %d sessions", loop.ended, s.closed, len(e.sessions))
+		t.Errorf("results %v, session closed: %v, %d sessions left; want one result Served and no session",
+			loop.ended, s.closed, len(e.sessions))
 	}
 }
 
-// TestLateOrCancelledStatementIsNotWritten checks that a statement
-// that is cancelled, or too late, is not written.
+// TestLateOrCancelledStatementIsNotWritten checks that a statement is not written if its
+// attempt was cancelled or its write deadline has passed.
 func TestLateOrCancelledStatementIsNotWritten(t *testing.T) {
 	for _, test := range []struct {
 		writeByMS          float64
@@ -69,14 +73,14 @@
 	}{{0, false, true}, {1000, false, true}, {999, false, false}, {0, true, false}} {
 		a := &attempt{writeByMS: test.writeByMS, cancelled: test.cancelled}
 		if err := a.markWritten(1000); (err == nil) != test.written || a.written != test.written {
-			t.Errorf("%+v: %v, written %v", test, err, a.written)
+			t.Errorf("%+v: markWritten returned %v, written: %v", test, err, a.written)
 		}
 	}
 }
 
 // TestEngineChangesWhileConnecting checks that a statement that waits for a connection is
-// not written to an engine that drains, moves or is removed meanwhile, and that one in
-// flight goes on.
+// not written if the engine starts to drain, gets another address or is removed in the
+// meantime, and that a statement that was already written is not cancelled.
 func TestEngineChangesWhileConnecting(t *testing.T) {
 	for name, list := range map[string][]Engine{"drains": {{ID: "e", State: "leaving"}}, "moves": {{ID: "e", Address: "other"}}, "removed": nil} {
 		p := NewPool(&fakeLoop{now: 1000}, Limits{ConnectionsPerEngine: 4}, 0)
@@ -89,7 +93,8 @@
 		e.attempts = map[attemptKey]*attempt{waiting.key(): waiting, inFlight.key(): inFlight}
 		p.SetEndpoints(list, nil)
 		if waiting.markWritten(0) == nil || inFlight.cancelled {
-			t.Errorf("%s: the waiting one is cancelled %v, the one in flight %v", name, waiting.cancelled, inFlight.cancelled)
+			t.Errorf("%s: cancelled: waiting attempt %v, want true; attempt in flight %v, want false",
+				name, waiting.cancelled, inFlight.cancelled)
 		}
 	}
 }
--- a/internal/mysql/result.go
+++ b/internal/mysql/result.go
@@ -7,20 +7,20 @@
 	"slices"
 )
 
-// Result is an engine's complete answer: an OK packet, rows, or an error of the
-// statement's own. Its packets go to the client as they are.
+// Result is an engine's complete reply to a statement: an OK packet, rows, or an error
+// packet. The packets are forwarded to the client unchanged.
 type Result struct {
 	OK      []byte
 	Columns [][]byte
 	Rows    [][]byte
 	Err     *Error
 
-	rowBytes int
+	rowBytes int // total size of Rows
 }
 
-var errLocalFile = errors.New("engine asks for a local file")
+var errLocalFile = errors.New("engine requested a local file, which is not supported")
 
-// readResult reads an answer to its end.
+// readResult reads an engine's complete reply to a statement.
 func (s *session) readResult(maxBytes int) (*Result, error) {
 	payload, err := s.stream.readPacket()
 	if err != nil {
@@ -84,7 +84,7 @@
 		}
 		result.rowBytes += len(payload)
 		if result.rowBytes > maxBytes {
-			return nil, fmt.Errorf("result over %d bytes", maxBytes)
+			return nil, fmt.Errorf("result is larger than the limit of %d bytes", maxBytes)
 		}
 		result.Rows = append(result.Rows, slices.Clone(payload))
 	}
--- a/internal/mysql/session.go
+++ b/internal/mysql/session.go
@@ -8,27 +8,29 @@
 
 const (
 	maxEnginePacketBytes = 1 << 24
-	logInTimeout         = 2 * time.Second // beyond the time for the connection
-	replyAllowance       = time.Second     // for an engine's answer after the request's deadline
+	logInTimeout         = 2 * time.Second // in addition to the connect timeout
+	replyAllowance       = time.Second     // wait for an engine's reply after the request's deadline
 	attemptQueueLength   = 1
 )
 
-// session is a connection to an engine with one statement at a time. Handles
-// belong to it: they end with it, and no other connection can use them. The
-// first fields are of its goroutine, the others of the event loop.
+// session is a connection to an engine, which runs one statement at a time. The
+// handles of prepared statements belong to the session: they end with it, and no
+// other connection can use them.
 type session struct {
-	stream      *stream // set on the event loop
-	threadID    uint32  // the engine's number for the connection
+	// Written by the session's goroutine.
+	stream      *stream // set on the event loop, so that interrupt can use it
+	threadID    uint32  // the engine's ID of the connection
 	database    string
 	handles     map[string]uint32 // by statementKey
-	handleOrder []string          // their keys, oldest first
-	counters    PoolCounters      // since the last attempt
+	handleOrder []string          // keys of handles, oldest first
+	counters    PoolCounters      // of the current attempt
 
+	// Used by the event loop.
 	engine      *engine
 	attempts    chan *attempt
 	busy        bool
 	closed      bool
-	interrupted bool // closed while it ran a statement
+	interrupted bool // the connection was closed by interrupt
 	idleSinceMS float64
 }
 
@@ -36,7 +38,8 @@
 	return &session{engine: e, handles: map[string]uint32{}, attempts: make(chan *attempt, attemptQueueLength)}
 }
 
-// interrupt closes the connection; the session's goroutine then reports.
+// interrupt closes the connection of a session that runs a statement. The session's
+// goroutine then reports the end of the attempt.
 func (s *session) interrupt() {
 	s.interrupted = true
 	if s.stream != nil {
@@ -44,8 +47,8 @@
 	}
 }
 
-// serveSession runs a session's attempts until it is closed or its connection
-// breaks.
+// serveSession runs the attempts of a session until the session is closed or its
+// connection breaks.
 func (p *Pool) serveSession(s *session, e Engine) {
 	broken := false
 	for a := range s.attempts {
@@ -61,13 +64,13 @@
 	}
 	if !broken {
 		_ = s.stream.conn.SetDeadline(time.Now().Add(writeTimeout))
-		_ = s.stream.sendCommand(comQuit, nil) // the engine sees the close in any case
+		_ = s.stream.sendCommand(comQuit, nil) // an error does not matter: the connection is closed next
 	}
 	_ = s.stream.conn.Close()
 }
 
-// serveAttempt runs an attempt, on a connection that is opened first if
-// necessary.
+// serveAttempt runs an attempt and returns how it ended. It opens the session's
+// connection first if necessary.
 func (p *Pool) serveAttempt(s *session, e Engine, a *attempt) attemptDone {
 	result, err := p.runAttempt(s, e, a)
 	done := attemptDone{
@@ -94,7 +97,7 @@
 	return result, err
 }
 
-// openSession connects and logs in.
+// openSession connects to the engine and logs in.
 func (p *Pool) openSession(s *session, e Engine, database string) error {
 	s.counters.Dials++
 	conn, err := net.DialTimeout("tcp", e.Address, p.connectTimeout)
@@ -121,8 +124,9 @@
 	return nil
 }
 
-// runStatement runs a statement. Errors are the connection's; a statement's own
-// error is in the result.
+// runStatement runs the statement of an attempt. An error packet from the engine is
+// part of the result. The returned error means that the attempt has no result, for
+// example because the connection broke.
 func (s *session) runStatement(a *attempt, maxResultBytes int, now func() float64) (*Result, error) {
 	statement := a.statement
 	engineErr, err := s.selectDatabase(statement.Database)
@@ -145,7 +149,8 @@
 	return s.readResult(maxResultBytes)
 }
 
-// selectDatabase changes the session's database if necessary.
+// selectDatabase changes the session's database if necessary. It returns the
+// engine's error packet as engineErr.
 func (s *session) selectDatabase(database string) (engineErr *Error, err error) {
 	if database == s.database || database == "" {
 		return nil, nil
@@ -164,7 +169,8 @@
 	return nil, nil
 }
 
-// meansUnavailable reports whether an engine is shutting down or full.
+// meansUnavailable reports whether the error says that the engine is shutting down
+// or has reached its connection limit.
 func (e *Error) meansUnavailable() bool {
 	return e.Code == codeServerShutdown || e.Code == codeTooManyConnections || e.Code == codeUserLimit
 }
--- a/internal/mysql/stream.go
+++ b/internal/mysql/stream.go
@@ -14,19 +14,20 @@
 const (
 	headerBytes     = 4
 	maxPayloadBytes = 1<<24 - 1              // of one packet
-	maxIdleBytes    = 64 << 10               // of a buffer, beyond which it is released when empty
-	closeLinger     = 250 * time.Millisecond // for which input is read on after the last packet
+	maxIdleBytes    = 64 << 10               // an empty buffer larger than this is released
+	closeLinger     = 250 * time.Millisecond // how long input is read after the last packet was sent
 )
 
 var errProtocol = errors.New("malformed packet")
 
-// bufferSizes suit commands of a few hundred bytes and results of many rows.
+// bufferSizes are chosen for commands of a few hundred bytes and results of many
+// rows.
 var bufferSizes = readbuffer.Sizes{InitialBytes: 2048, MaxIdleBytes: maxIdleBytes}
 
 // stream reads and writes packets on a connection.
 type stream struct {
 	conn           net.Conn
-	sequence       byte // of the next packet
+	sequence       byte // sequence number of the next packet
 	buffer         readbuffer.Buffer
 	queued         []byte // packets to send in one write
 	maxPacketBytes int
@@ -40,8 +41,8 @@
 	}
 }
 
-// readPacket returns the next packet's payload, which is valid until the next
-// call. One over the limit is an *Error.
+// readPacket returns the payload of the next packet. The payload is valid until the
+// next call. If a packet is longer than the limit, the error is an *Error.
 func (s *stream) readPacket() ([]byte, error) {
 	if err := s.buffer.FillTo(headerBytes); err != nil {
 		return nil, err
@@ -53,7 +54,7 @@
 		return nil, &Error{codePacketTooLarge, "08S01", message}
 	}
 	if header[3] != s.sequence {
-		return nil, fmt.Errorf("%w: number %d, not %d", errProtocol, header[3], s.sequence)
+		return nil, fmt.Errorf("%w: sequence number %d, want %d", errProtocol, header[3], s.sequence)
 	}
 	s.sequence++
 	err := s.buffer.FillTo(headerBytes + length)
@@ -67,8 +68,8 @@
 	return packet[headerBytes:], nil
 }
 
-// queuePacket queues a packet, or several for a payload that is too long for
-// one.
+// queuePacket queues a payload to be sent, split into several packets if it is too
+// long for one.
 func (s *stream) queuePacket(payload []byte) {
 	for {
 		n := min(len(payload), maxPayloadBytes)
@@ -82,7 +83,7 @@
 	}
 }
 
-// flush sends what is queued.
+// flush sends the queued packets in one write.
 func (s *stream) flush() error {
 	_, err := s.conn.Write(s.queued)
 	s.queued = s.queued[:0]
@@ -99,8 +100,8 @@
 	return s.flush()
 }
 
-// closeGracefully closes the connection so that the other side gets the last
-// packets.
+// closeGracefully closes the connection in such a way that the other side can still
+// receive the last packets.
 func (s *stream) closeGracefully() {
 	lingeringclose.CloseWrite(s.conn, closeLinger)
 	lingeringclose.DiscardInput(s.conn, MaxPacketBytes)
--- a/internal/mysql/submit.go
+++ b/internal/mysql/submit.go
@@ -7,23 +7,23 @@
 	"dewhill/internal/dispatch"
 )
 
-// outcome is a statement's final response: a result or an error.
+// outcome is the final response to a statement: a result or an error.
 type outcome struct {
 	result *Result
 	err    *Error
 }
 
-// The idempotency of classes, as the settings name it.
+// The values of a class's idempotency in the settings.
 const (
 	idempotent    = "pure"
 	notIdempotent = "side_effect"
 )
 
-// submit takes a client's statement. done is called once, on the event loop,
+// submit accepts a client's statement. It calls done once, on the event loop,
 // unless the client has disconnected.
 func (s *Server) submit(c *client, statement *Statement, info *statementInfo, done func(outcome)) {
 	if c.disconnected {
-		return // noted ahead of what it sent
+		return // PostUrgent runs handleDisconnect ahead of the client's last statement
 	}
 	treatment, invalid := s.classify(info, c.user, statement)
 	if invalid != nil {
@@ -43,7 +43,7 @@
 	s.submitLoad(c, statement, info, treatment, done)
 }
 
-// start hands a statement to the event loop.
+// start submits a statement to the event loop as a request.
 func (s *Server) start(c *client, statement *Statement, info *statementInfo, t treatment, done func(outcome)) {
 	s.lastRequestID++
 	now := s.loop.Now()
@@ -72,7 +72,7 @@
 	}
 }
 
-// finalOutcome words a response for the client.
+// finalOutcome counts a response and converts it to the client's outcome.
 func (s *Server) finalOutcome(response dispatch.Response, result any, isIdempotent bool) outcome {
 	switch response.Outcome {
 	case dispatch.Served:
@@ -103,7 +103,7 @@
 	return &Error{codeMayHaveRun, "08007", "failed, and it may have run: do not simply repeat it"}
 }
 
-// rejection is the error for what the server itself rejects.
+// rejection returns the error for a statement that the server itself rejects.
 func (s *Server) rejection() *Error { return rejectionAfter(s.config.Settings.Limits.MaxRetryAfterMS) }
 
 func rejectionAfter(retryAfterMS float64) *Error {
