--- a/internal/server/admin_program_test.go
+++ b/internal/server/admin_program_test.go
@@ -14,7 +14,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// startWithAdminAPI starts a front end that operators can call at an address.
+// startWithAdminAPI starts a front end with an operators' API and returns the API's
+// address.
 func startWithAdminAPI(t *testing.T, engines ...*fakes.Engine) (f *frontEndProcess, operators string) {
 	t.Helper()
 	operators = testprocess.FreeAddr(t)
@@ -22,29 +23,30 @@
 	return startFrontEnd(t, "", 256, engines...), operators
 }
 
-// selectFromGroup is a statement that reads the k-th group of tables: readers keep
-// away from the engine that is preferred for a group's loads.
+// selectFromGroup returns a statement that reads the k-th group of tables. Reads avoid the
+// engine that is preferred for the loads of their group, so that reads of many groups
+// reach every engine.
 func selectFromGroup(k int) string { return fmt.Sprintf("SELECT a FROM sales_%d.orders", k) }
 
-// expectCall makes an operator's call and fails the test on another status.
-func expectCall(t *testing.T, operators, method, path string, want int) {
+// expectCallStatus calls the operators' API and checks the status of the response.
+func expectCallStatus(t *testing.T, operators, method, path string, want int) {
 	t.Helper()
 	if status, _ := callOperatorAPI(operators, method, path); status != want {
 		t.Errorf("%s %s: status %d, want %d", method, path, status, want)
 	}
 }
 
-// The counters tell what was answered by class, what was written to engines, and
-// which engines are listed and which of them unused.
+// The operators' API reports the responses of each class by outcome, the requests written
+// to engines, the open requests, and the listed engines.
 func TestOperatorCounters(t *testing.T) {
 	e := fakes.NewScriptedEngine(t, "s-1", func(c fakes.Command) string {
 		switch c.Statement {
 		case "error":
-			return answerError(c)
+			return replyError(c)
 		case "full":
-			return answerFull(c)
+			return replyFull(c)
 		default:
-			return answerOneRow(c)
+			return replyOneRow(c)
 		}
 	})
 	f, operators := startWithAdminAPI(t, e)
@@ -75,11 +77,11 @@
 	}
 }
 
-// A disabled engine gets nothing new until it is enabled; an id that was never listed
-// is refused, and so is what is no call. Operators who stay connected and don't call
-// are in nobody's way.
+// A disabled engine receives no new request until it is enabled. The API rejects an engine
+// id that was never listed, an unknown path and a wrong method. 40 connections to the API
+// with an incomplete call do not block other calls.
 func TestEngineOverride(t *testing.T) {
-	a, b := fakes.NewScriptedEngine(t, "s-1", answerOneRow), fakes.NewScriptedEngine(t, "s-2", answerOneRow)
+	a, b := fakes.NewScriptedEngine(t, "s-1", replyOneRow), fakes.NewScriptedEngine(t, "s-2", replyOneRow)
 	f, operators := startWithAdminAPI(t, a, b)
 	for range 40 {
 		c, err := net.Dial("tcp", operators)
@@ -87,7 +89,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
-		_, _ = io.WriteString(c, "GET /control/re") // it may be closed by now
+		_, _ = io.WriteString(c, "GET /control/re") // the API may have closed the connection
 	}
 	for call, want := range map[string]int{
 		"GET ready":                200,
@@ -99,48 +101,49 @@
 		"POST engines/s-1/offline": 200,
 	} {
 		method, path, _ := strings.Cut(call, " ")
-		expectCall(t, operators, method, path, want)
+		expectCallStatus(t, operators, method, path, want)
 	}
 	c := f.connect()
 	for k := range 20 {
 		c.roundTrip(lookupMessage(k, selectFromGroup(k)))
 	}
 	if len(a.Attempts()) != 0 {
-		t.Errorf("%d requests at the engine that is disabled", len(a.Attempts()))
+		t.Errorf("%d requests at the disabled engine, want none", len(a.Attempts()))
 	}
 	_, counters := callOperatorAPI(operators, "GET", "counters")
 	if !strings.Contains(string(counters), `"hosts_down":1,"hosts_listed":2`) {
-		t.Errorf("%s", counters)
+		t.Errorf("counters %s, want 1 of 2 engines disabled", counters)
 	}
-	for range 2 { // disabled once or twice, one call enables it
+	for range 2 { // one call enables an engine that was disabled several times
 		callOperatorAPI(operators, "POST", "engines/s-1/offline")
 	}
 	callOperatorAPI(operators, "POST", "engines/s-2/offline")
-	expectCall(t, operators, "POST", "engines/s-1/online", 200)
+	expectCallStatus(t, operators, "POST", "engines/s-1/online", 200)
 	c.send(lookupMessage(30, "x")).expectStatus(200)
 	if len(a.Attempts()) != 1 {
-		t.Errorf("%d requests at the engine that is enabled again", len(a.Attempts()))
+		t.Errorf("%d requests at the engine that is enabled again, want 1", len(a.Attempts()))
 	}
 }
 
-// Out of service, the front end answers that it isn't healthy, closes idle connections
-// and ends others with their response. Back in service, it takes clients again.
+// A front end that is out of service fails health checks, closes idle connections, and
+// closes each other connection after its response. Back in service, it keeps connections
+// open again.
 func TestOutOfService(t *testing.T) {
 	g := newGate()
-	e := fakes.NewScriptedEngine(t, "s-1", g.answer)
+	e := fakes.NewScriptedEngine(t, "s-1", g.reply)
 	f, operators := startWithAdminAPI(t, e)
 	idle, busy := f.connect(), f.connect()
 	idle.roundTrip(loadMessage(1, "x"))
 	busy.send(loadMessage(2, "slow"))
 	waitForRequests(t, 2, e)
-	expectCall(t, operators, "POST", "out-of-service", 200)
+	expectCallStatus(t, operators, "POST", "out-of-service", 200)
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection: %v", err)
 	}
 	if status, header, _ := f.connect().roundTrip(healthCheck); status != 503 || header.Get("Connection") != "close" {
 		t.Errorf("healthy: status %d, %v", status, header)
 	}
-	expectCall(t, operators, "GET", "ready", 503)
+	expectCallStatus(t, operators, "GET", "ready", 503)
 	g.open()
 	connected := f.connect()
 	connected.send(loadMessage(3, "x"))
@@ -159,15 +162,17 @@
 	}
 }
 
-// lookups are sent one after another, each on a connection of its own.
-type lookups struct {
+// lookupGenerator sends lookups one after another, each on a new connection, and counts
+// the sent and the failed ones.
+type lookupGenerator struct {
 	sent, failed  atomic.Int32
 	done, stopped chan struct{}
 }
 
-// startLookups sends lookups to a front end until they are stopped.
-func startLookups(f *frontEndProcess) *lookups {
-	l := &lookups{done: make(chan struct{}), stopped: make(chan struct{})}
+// startLookupGenerator starts sending lookups to a front end. It sends until stop is
+// called.
+func startLookupGenerator(f *frontEndProcess) *lookupGenerator {
+	l := &lookupGenerator{done: make(chan struct{}), stopped: make(chan struct{})}
 	go func() {
 		defer close(l.stopped)
 		for k := 100; ; k++ {
@@ -187,18 +192,18 @@
 	return l
 }
 
-// stop waits for the last lookup.
-func (l *lookups) stop() {
+// stop ends the generator after the lookup that is open.
+func (l *lookupGenerator) stop() {
 	close(l.done)
 	<-l.stopped
 }
 
-// In an upgrade the next process takes the clients while the previous one finishes what
-// it has: no connection is rejected, and engines that are disabled stay so.
+// In an upgrade the next process accepts clients while the previous one finishes its open
+// requests: no connection is rejected, and disabled engines stay disabled.
 func TestUpgrade(t *testing.T) {
 	g := newGate()
-	disabled := fakes.NewScriptedEngine(t, "s-1", g.answer)
-	e2, e3 := fakes.NewScriptedEngine(t, "s-2", g.answer), fakes.NewScriptedEngine(t, "s-3", g.answer)
+	disabled := fakes.NewScriptedEngine(t, "s-1", g.reply)
+	e2, e3 := fakes.NewScriptedEngine(t, "s-2", g.reply), fakes.NewScriptedEngine(t, "s-3", g.reply)
 	f, operators := startWithAdminAPI(t, disabled, e2, e3)
 	callOperatorAPI(operators, "POST", "engines/s-1/offline")
 	slow, idle := f.connect(), f.connect()
@@ -206,7 +211,7 @@
 	slow.send(loadMessage(2, "slow"))
 	waitForRequests(t, 2, e2, e3)
 
-	load := startLookups(f)
+	generator := startLookupGenerator(f)
 	nextOperators := testprocess.FreeAddr(t)
 	next := f.startProcess(nextOperators)
 	testprocess.Until(t, "the next process to be ready", func() bool {
@@ -218,27 +223,27 @@
 	if _, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("an idle connection of the previous process: %v", err)
 	}
-	before := load.sent.Load()
-	testprocess.Until(t, "requests after the handover", func() bool { return load.sent.Load() > before+50 })
+	before := generator.sent.Load()
+	testprocess.Until(t, "requests after the handover", func() bool { return generator.sent.Load() > before+50 })
 	g.open()
 	if status, header, _ := slow.readResponse(); status != 200 || header.Get("Connection") != "close" {
-		t.Errorf("in flight at the previous process: status %d, %v", status, header)
+		t.Errorf("request in flight at the previous process: status %d, %v", status, header)
 	}
 	f.waitForExit()
-	load.stop()
-	if load.failed.Load() > 0 {
-		t.Errorf("%d of %d requests were not served", load.failed.Load(), load.sent.Load())
+	generator.stop()
+	if generator.failed.Load() > 0 {
+		t.Errorf("%d of %d requests were not served", generator.failed.Load(), generator.sent.Load())
 	}
 	if len(disabled.Attempts()) != 0 {
-		t.Errorf("%d requests at the engine that is disabled", len(disabled.Attempts()))
+		t.Errorf("%d requests at the disabled engine, want none", len(disabled.Attempts()))
 	}
-	expectCall(t, nextOperators, "POST", "engines/s-1/online", 200)
+	expectCallStatus(t, nextOperators, "POST", "engines/s-1/online", 200)
 	for k := 0; len(disabled.Attempts()) == 0; k++ {
 		c := f.connect()
 		c.roundTrip(lookupMessage(1<<20+k, selectFromGroup(k)))
 		c.close()
 	}
 	if next.Stop()["node"] == nil {
-		t.Error("no counters of the next process")
+		t.Error("the next process printed no counters")
 	}
 }
