--- a/internal/mysql/submit.go
+++ b/internal/mysql/submit.go
@@ -7,23 +7,23 @@
 	"dewhill/internal/dispatch"
 )
 
-// outcome is a statement's final answer: a result or an error.
+// outcome is the final response to a statement: a result or an error.
 type outcome struct {
 	result *Result
 	err    *Error
 }
 
-// The idempotency of classes, as the settings name it.
+// The values of a class's idempotency in the settings.
 const (
 	idempotent    = "pure"
 	notIdempotent = "side_effect"
 )
 
-// submit takes a client's statement. done is called once, on the event loop,
+// submit accepts a client's statement. It calls done once, on the event loop,
 // unless the client has disconnected.
 func (s *Server) submit(c *client, statement *Statement, info *statementInfo, done func(outcome)) {
 	if c.disconnected {
-		return // noted ahead of what it sent
+		return // PostUrgent runs handleDisconnect ahead of the client's last statement
 	}
 	treatment, invalid := s.classify(info, c.user, statement)
 	if invalid != nil {
@@ -43,7 +43,7 @@
 	s.submitLoad(c, statement, info, treatment, done)
 }
 
-// start hands a statement to the event loop.
+// start submits a statement to the event loop as a request.
 func (s *Server) start(c *client, statement *Statement, info *statementInfo, t treatment, done func(outcome)) {
 	s.lastRequestID++
 	now := s.loop.Now()
@@ -63,36 +63,36 @@
 	case c.load != nil:
 		c.load.requestID = request.ID
 	}
-	repeatable := s.class(t).Idempotency == idempotent
-	err := s.loop.Submit(request, statement, func(answer dispatch.Response, result any) {
-		done(s.finalOutcome(answer, result, repeatable))
+	isIdempotent := s.class(t).Idempotency == idempotent
+	err := s.loop.Submit(request, statement, func(response dispatch.Response, result any) {
+		done(s.finalOutcome(response, result, isIdempotent))
 	})
 	if err != nil {
 		done(outcome{err: &Error{codeFailed, "58000", err.Error()}})
 	}
 }
 
-// finalOutcome words an answer for the client.
-func (s *Server) finalOutcome(answer dispatch.Response, result any, repeatable bool) outcome {
-	switch answer.Outcome {
+// finalOutcome counts a response and converts it to the client's outcome.
+func (s *Server) finalOutcome(response dispatch.Response, result any, isIdempotent bool) outcome {
+	switch response.Outcome {
 	case dispatch.Served:
 		s.Counters.Served++
 		r, _ := result.(*Result)
 		return outcome{result: r}
 	case dispatch.Rejected:
 		s.Counters.Rejected++
-		return outcome{err: rejectionAfter(answer.RetryAfterMS)}
+		return outcome{err: rejectionAfter(response.RetryAfterMS)}
 	default:
 		s.Counters.Failed++
-		return outcome{err: failure(answer, repeatable)}
+		return outcome{err: failure(response, isIdempotent)}
 	}
 }
 
-func failure(answer dispatch.Response, repeatable bool) *Error {
+func failure(response dispatch.Response, isIdempotent bool) *Error {
 	switch {
-	case answer.MayHaveRun && !repeatable:
+	case response.MayHaveRun && !isIdempotent:
 		return mayHaveRun()
-	case answer.DeadlinePassed:
+	case response.DeadlinePassed:
 		return &Error{codeDeadline, "HYT00", "the deadline came before an answer"}
 	default:
 		return &Error{codeFailed, "58000", "failed: no engine could answer"}
@@ -103,7 +103,7 @@
 	return &Error{codeMayHaveRun, "08007", "failed, and it may have run: do not simply repeat it"}
 }
 
-// rejection is the error for what the server itself rejects.
+// rejection returns the error for a statement that the server itself rejects.
 func (s *Server) rejection() *Error { return rejectionAfter(s.config.Settings.Limits.MaxRetryAfterMS) }
 
 func rejectionAfter(retryAfterMS float64) *Error {
