--- a/control/gateway.go
+++ b/control/gateway.go
@@ -161,8 +161,8 @@
 
 // wasPaused reports whether the current event revealed a pause of this process, as a sweep
 // was long overdue. Replies may then have waited unread, and engines look slower than they
-// are. The event therefore adds no durations to the estimates, cancels no attempt as late or
-// unresponsive, and ejects no engine as unresponsive.
+// are. The event therefore adds no latencies or slowdowns to the estimates, cancels no
+// attempt as late or unresponsive, and ejects no engine as unresponsive.
 func (g *Gateway) wasPaused() bool { return g.pauseDetectedAtMS == g.nowMS }
 
 // sweep does the periodic work: it updates averages, closes control intervals, checks
--- a/control/shedding.go
+++ b/control/shedding.go
@@ -163,7 +163,7 @@
 // shedOpenRequests ends open requests when their number is close to MaxOpenRequests. It
 // ends requests whose weight per time that they will stay open is below the average: the
 // weight served per time, divided by MaxOpenRequests. Otherwise requests that are blocked
-// by loads, or are too late to have any weight, would take all open requests while new
+// by loads, or are too late to have any weight, would use up MaxOpenRequests while new
 // clients are refused.
 func (g *Gateway) shedOpenRequests() {
 	target := targetOpenFraction * float64(g.settings.MaxOpenRequests)
