--- a/internal/mysql/auth.go
+++ b/internal/mysql/auth.go
@@ -16,11 +16,11 @@
 	serverVersion = "8.0.0-dewhill\x00"
 	// authDataBytes is the length of the challenge with its end, as the greeting
 	// states it.
-	authDataBytes      = challengeBytes + 1
-	greetingReserved   = 10
-	loginReserved      = 23
-	maxAuthPackets     = 4 // from an engine, until it accepts or refuses
-	minSecondPartBytes = 13
+	authDataBytes               = challengeBytes + 1
+	greetingReserved            = 10
+	loginReserved               = 23
+	maxAuthPackets              = 4 // from an engine, until it accepts or refuses
+	minChallengeSecondPartBytes = 13
 )
 
 var (
@@ -78,7 +78,7 @@
 
 // greetingPacket begins the handshake with a client.
 func greetingPacket(connectionID uint32, challenge []byte) []byte {
-	capabilities := uint32(ourCapabilities)
+	capabilities := uint32(supportedCapabilities)
 	p := append([]byte{protocolVersion}, serverVersion...)
 	p = binary.LittleEndian.AppendUint32(p, connectionID)
 	p = append(p, challenge[:challengeFirstBytes]...)
@@ -114,7 +114,7 @@
 	switch {
 	case l.has(capLenencAuth):
 		l.auth = slices.Clone(r.lengthEncodedBytes())
-	case l.has(capSecure):
+	case l.has(capSecureConnection):
 		l.auth = slices.Clone(r.take(int(r.uint(1))))
 	default:
 		l.auth = []byte(r.nullTerminated())
@@ -155,7 +155,7 @@
 	}
 	account := s.findAccount(l.user, challenge, l.auth)
 	if account == nil {
-		return nil, &Error{codeAccessDenied, "28000", fmt.Sprintf("Access denied for user %.32q", l.user)}
+		return nil, &Error{codeAccessDenied, "28000", fmt.Sprintf("Access loginError for user %.32q", l.user)}
 	}
 	if l.database == "" {
 		l.database = account.Database
@@ -215,7 +215,8 @@
 		capabilities |= uint32(r.uint(2)) << 16
 		length := int(r.uint(1))
 		r.take(greetingReserved)
-		g.challenge = append(g.challenge, r.take(max(minSecondPartBytes, length-challengeFirstBytes))...)
+		secondPartBytes := max(minChallengeSecondPartBytes, length-challengeFirstBytes)
+		g.challenge = append(g.challenge, r.take(secondPartBytes)...)
 		g.challenge = g.challenge[:min(challengeBytes, len(g.challenge))]
 		if capabilities&capPluginAuth != 0 {
 			g.plugin = r.nullTerminated()
@@ -229,7 +230,7 @@
 
 // loginPacket is this program's answer to an engine's greeting.
 func loginPacket(user, database, plugin string, auth []byte) []byte {
-	capabilities := uint32(ourCapabilities &^ capConnectWithDB &^ capLenencAuth)
+	capabilities := uint32(supportedCapabilities &^ capConnectWithDB &^ capLenencAuth)
 	if database != "" {
 		capabilities |= capConnectWithDB
 	}
--- a/internal/mysql/classify.go
+++ b/internal/mysql/classify.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// treatment is how a statement is treated.
-type treatment struct {
+// requestOptions is how a statement is treated.
+type requestOptions struct {
 	class      int
 	orderKey   string // statements with one key run in order; empty: none
 	loadID     string // empty: none
@@ -26,23 +26,26 @@
 // rule that matches, else as a load if it may write. What may write keeps a class
 // that is not idempotent unless a rule says otherwise: a client's hint does not
 // prove that it may run twice.
-func (s *Server) classify(info *statementInfo, account string, statement *Statement) (treatment, *Error) {
-	t := treatment{class: s.config.classIndex(s.config.ReadClass)}
+func (s *Server) classify(
+	info *statementInfo, account string, statement *Statement,
+) (requestOptions, *Error) {
+	options := requestOptions{class: s.config.classIndex(s.config.ReadClass)}
 	if info.writes {
-		t.class = s.config.classIndex(s.config.LoadClass)
+		options.class = s.config.classIndex(s.config.LoadClass)
 	}
 	if rule := s.config.findRule(info, account); rule != nil {
-		rule.applyTo(&t, info, statement)
+		rule.applyTo(&options, info, statement)
 	}
 	for name, value := range info.hints {
-		if !s.applyHint(&t, info, name, value) {
-			return t, &Error{codeInvalidHint, "42000", fmt.Sprintf("hint %s=%.40s can't be used", name, value)}
+		if !s.applyHint(&options, info, name, value) {
+			message := fmt.Sprintf("hint %s=%.40s can't be used", name, value)
+			return options, &Error{codeInvalidHint, "42000", message}
 		}
 	}
-	if t.deadlineMS == 0 {
-		t.deadlineMS = s.class(t).DeadlineMS
+	if options.deadlineMS == 0 {
+		options.deadlineMS = s.class(options).DeadlineMS
 	}
-	return t, nil
+	return options, nil
 }
 
 // findRule returns the first rule that matches; nil if none does.
@@ -66,53 +69,53 @@
 	return len(r.Verbs) == 0 || slices.ContainsFunc(r.Verbs, isVerb)
 }
 
-func (r *Rule) applyTo(t *treatment, info *statementInfo, statement *Statement) {
-	t.class = r.class
-	t.deadlineMS = r.DeadlineMS
-	t.workMS = r.WorkMS
-	t.memoryMB = r.MemoryMB
+func (r *Rule) applyTo(options *requestOptions, info *statementInfo, statement *Statement) {
+	options.class = r.class
+	options.deadlineMS = r.DeadlineMS
+	options.workMS = r.WorkMS
+	options.memoryMB = r.MemoryMB
 	switch {
 	case r.Key == "":
 	case r.Key == keyTable:
-		t.orderKey = info.table
+		options.orderKey = info.table
 	case isTextKey(r.Key):
-		t.orderKey = strings.TrimPrefix(r.Key, keyTextPrefix)
+		options.orderKey = strings.TrimPrefix(r.Key, keyTextPrefix)
 	case r.param < len(statement.Params):
-		t.orderKey = hashOf(statement.Params[r.param].Value)
+		options.orderKey = hashOf(statement.Params[r.param].Value)
 	}
 }
 
 // applyHint applies one hint and reports whether it can be used.
-func (s *Server) applyHint(t *treatment, info *statementInfo, name, value string) bool {
+func (s *Server) applyHint(options *requestOptions, info *statementInfo, name, value string) bool {
 	switch name {
 	case "class":
-		return s.applyClassHint(t, info, value)
+		return s.applyClassHint(options, info, value)
 	case "key":
-		t.orderKey = value
+		options.orderKey = value
 		return true
 	case "id":
-		t.loadID = value
+		options.loadID = value
 		return value != "" && len(value) <= maxLoadIDBytes
 	case "retry":
-		t.isRetry = value == "yes"
-		return t.isRetry || value == "no"
+		options.isRetry = value == "yes"
+		return options.isRetry || value == "no"
 	case "deadline":
-		return parseHintNumber(value, &t.deadlineMS)
+		return parseHintNumber(value, &options.deadlineMS)
 	case "cost":
-		return parseHintNumber(value, &t.workMS)
+		return parseHintNumber(value, &options.workMS)
 	case "memory":
-		return parseHintNumber(value, &t.memoryMB)
+		return parseHintNumber(value, &options.memoryMB)
 	default:
 		return false
 	}
 }
 
-func (s *Server) applyClassHint(t *treatment, info *statementInfo, name string) bool {
+func (s *Server) applyClassHint(options *requestOptions, info *statementInfo, name string) bool {
 	class := s.config.classIndex(name)
 	if class < 0 || info.writes && s.config.Settings.Classes[class].Idempotency != notIdempotent {
 		return false
 	}
-	t.class = class
+	options.class = class
 	return true
 }
 
--- a/internal/mysql/client.go
+++ b/internal/mysql/client.go
@@ -21,7 +21,7 @@
 	lastStatementID uint32
 	ranStatement    bool // the current command went to the event loop
 	overflowed      bool // more came ahead than is buffered: the current answer is the last
-	discarded       []byte
+	discardBuffer   []byte
 
 	// Of the event loop.
 	busy         bool // an answer is owed
@@ -38,7 +38,7 @@
 	}()
 	_ = c.stream.conn.SetDeadline(time.Now().Add(loginTimeout))
 	if tooMany {
-		c.refuse(&Error{codeTooManyConnections, "08004", "Too many connections"})
+		c.sendFinalError(&Error{codeTooManyConnections, "08004", "Too many connections"})
 		return
 	}
 	if !c.logIn() {
@@ -54,8 +54,8 @@
 	}
 }
 
-// refuse sends a last error.
-func (c *client) refuse(e *Error) {
+// sendFinalError sends a last error.
+func (c *client) sendFinalError(e *Error) {
 	c.writeError(e)
 	_ = c.stream.flush() // the connection ends either way
 }
@@ -63,10 +63,10 @@
 // logIn reports whether the client has logged in.
 func (c *client) logIn() bool {
 	login, err := c.server.authenticate(c.stream, c.connectionID)
-	var denied *Error
-	if errors.As(err, &denied) {
-		c.count(func(counters *ServerCounters) { counters.Denied++ })
-		c.refuse(denied)
+	var rejection *Error
+	if errors.As(err, &rejection) {
+		c.updateCounters(func(counters *ServerCounters) { counters.Denied++ })
+		c.sendFinalError(rejection)
 	}
 	if err != nil {
 		return false
@@ -84,8 +84,8 @@
 	payload, err := c.stream.readPacket()
 	var malformed *Error
 	if errors.As(err, &malformed) {
-		c.count(func(counters *ServerCounters) { counters.Malformed++ })
-		c.refuse(malformed)
+		c.updateCounters(func(counters *ServerCounters) { counters.Malformed++ })
+		c.sendFinalError(malformed)
 	}
 	if err != nil || len(payload) == 0 || !c.handleCommand(payload[0], payload[1:]) {
 		return false
@@ -105,7 +105,7 @@
 
 func (c *client) writeOK() { c.stream.queuePacket(okPacket(0, 0)) }
 
-// count changes the counters on the event loop.
-func (c *client) count(change func(*ServerCounters)) {
+// updateCounters changes the counters on the event loop.
+func (c *client) updateCounters(change func(*ServerCounters)) {
 	c.server.loop.Post(func() { change(&c.server.Counters) })
 }
--- a/internal/mysql/commands.go
+++ b/internal/mysql/commands.go
@@ -20,13 +20,13 @@
 		c.database = string(argument)
 		c.writeOK()
 	case comQuery:
-		c.count(func(counters *ServerCounters) { counters.Queries++ })
+		c.updateCounters(func(counters *ServerCounters) { counters.Queries++ })
 		return c.query(string(argument))
 	case comStmtPrepare:
-		c.count(func(counters *ServerCounters) { counters.Prepares++ })
+		c.updateCounters(func(counters *ServerCounters) { counters.Prepares++ })
 		c.prepare(string(argument))
 	case comStmtExecute:
-		c.count(func(counters *ServerCounters) { counters.Executes++ })
+		c.updateCounters(func(counters *ServerCounters) { counters.Executes++ })
 		return c.execute(argument)
 	case comStmtLongData: // has no answer
 		c.appendLongData(argument)
@@ -40,7 +40,7 @@
 			c.writeOK()
 		}
 	default:
-		c.count(func(counters *ServerCounters) { counters.Unsupported++ })
+		c.updateCounters(func(counters *ServerCounters) { counters.Unsupported++ })
 		c.writeError(&Error{codeUnknownCommand, "08S01", fmt.Sprintf("command 0x%02x is not supported", command)})
 	}
 	return true
@@ -52,7 +52,7 @@
 	switch {
 	case info == nil:
 		return true
-	case info.answeredHere:
+	case info.isNoOp:
 		c.writeOK()
 		return true
 	case info.params > 0:
@@ -66,20 +66,20 @@
 // queued, if it can't be served.
 func (c *client) inspectStatement(sql string) *statementInfo {
 	if len(sql) > maxStatementBytes {
-		c.refuseStatement(&Error{codePacketTooLarge, "08S01",
+		c.writeUnsupported(&Error{codePacketTooLarge, "08S01",
 			fmt.Sprintf("a statement may hold at most %d bytes", maxStatementBytes)})
 		return nil
 	}
 	info := inspect(sql)
-	if info.unusable != nil {
-		c.refuseStatement(info.unusable)
+	if info.err != nil {
+		c.writeUnsupported(info.err)
 		return nil
 	}
 	return info
 }
 
-func (c *client) refuseStatement(e *Error) {
-	c.count(func(counters *ServerCounters) { counters.Unsupported++ })
+func (c *client) writeUnsupported(e *Error) {
+	c.updateCounters(func(counters *ServerCounters) { counters.Unsupported++ })
 	c.writeError(e)
 }
 
--- a/internal/mysql/disconnect.go
+++ b/internal/mysql/disconnect.go
@@ -61,10 +61,10 @@
 		return c.stream.buffer.Fill()
 	}
 	c.overflowed = true
-	if c.discarded == nil {
-		c.discarded = make([]byte, discardBufferBytes)
+	if c.discardBuffer == nil {
+		c.discardBuffer = make([]byte, discardBufferBytes)
 	}
-	_, err := c.stream.conn.Read(c.discarded)
+	_, err := c.stream.conn.Read(c.discardBuffer)
 	return err
 }
 
--- a/internal/mysql/fakes_test.go
+++ b/internal/mysql/fakes_test.go
@@ -24,13 +24,13 @@
 	ran              map[string]int
 	connections      map[uint32]*fakeConnection
 	lastConnectionID uint32
-	Prepares         int
-	Kills            int
-	Inits            []string
-	// On is called before each step (prepare, execute or query) with the
-	// statement. It may return "die" (close at once), "run-die" (run, then close),
+	prepares         int
+	kills            int
+	initDatabases    []string
+	// behavior is called before each step (prepare, execute or query) with the
+	// statement. It may return "close" (close at once), "run-close" (run, then close),
 	// "hang" (until killed) or "error N".
-	On func(step, sql string) string
+	behavior func(step, sql string) string
 }
 
 type fakeConnection struct {
@@ -61,8 +61,8 @@
 	return n
 }
 
-// All returns what the engine ran, and how often.
-func (e *FakeEngine) All() map[string]int {
+// RunCounts returns what the engine ran, and how often.
+func (e *FakeEngine) RunCounts() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.ran)
@@ -72,22 +72,22 @@
 func (e *FakeEngine) Counts() (prepares, kills int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.Prepares, e.Kills
+	return e.prepares, e.kills
 }
 
-// Set sets what the engine does at each step.
-func (e *FakeEngine) Set(on func(step, sql string) string) {
+// SetBehavior sets what the engine does at each step.
+func (e *FakeEngine) SetBehavior(behavior func(step, sql string) string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.On = on
+	e.behavior = behavior
 }
 
 // CloseAll closes every connection.
 func (e *FakeEngine) CloseAll() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, s := range e.connections {
-		_ = s.stream.conn.Close()
+	for _, connection := range e.connections {
+		_ = connection.stream.conn.Close()
 	}
 }
 
@@ -95,124 +95,133 @@
 	defer func() { _ = c.Close() }()
 	e.mu.Lock()
 	e.lastConnectionID++
-	s := &fakeConnection{id: e.lastConnectionID, stream: newStream(c), killed: make(chan struct{}, 1), statements: map[uint32]string{}}
-	e.connections[s.id] = s
+	connection := &fakeConnection{
+		id:         e.lastConnectionID,
+		stream:     newStream(c),
+		killed:     make(chan struct{}, 1),
+		statements: map[uint32]string{},
+	}
+	e.connections[connection.id] = connection
 	e.mu.Unlock()
 	defer func() {
 		e.mu.Lock()
-		delete(e.connections, s.id)
+		delete(e.connections, connection.id)
 		e.mu.Unlock()
 	}()
-	f := &Server{accounts: []Account{{User: "gate", Password: e.password}}}
-	if _, err := f.authenticate(s.stream, s.id); err != nil {
+	server := &Server{accounts: []Account{{User: "gate", Password: e.password}}}
+	if _, err := server.authenticate(connection.stream, connection.id); err != nil {
 		var refusal *Error
 		if errors.As(err, &refusal) {
-			s.stream.queuePacket(refusal.packet())
-			_ = s.stream.flush()
+			connection.stream.queuePacket(refusal.packet())
+			_ = connection.stream.flush()
 		}
 		return
 	}
 	for {
-		s.stream.sequence = 0
-		p, err := s.stream.readPacket()
-		if err != nil || len(p) == 0 || p[0] == comQuit || !e.command(s, p[0], append([]byte(nil), p[1:]...)) {
+		connection.stream.sequence = 0
+		p, err := connection.stream.readPacket()
+		if err != nil || len(p) == 0 || p[0] == comQuit {
+			return
+		}
+		if !e.command(connection, p[0], append([]byte(nil), p[1:]...)) {
 			return
 		}
-		if s.stream.flush() != nil {
+		if connection.stream.flush() != nil {
 			return
 		}
 	}
 }
 
-func (e *FakeEngine) command(s *fakeConnection, cmd byte, arg []byte) bool {
-	switch cmd {
+func (e *FakeEngine) command(connection *fakeConnection, command byte, argument []byte) bool {
+	switch command {
 	case comInitDB:
 		e.mu.Lock()
-		e.Inits = append(e.Inits, string(arg))
+		e.initDatabases = append(e.initDatabases, string(argument))
 		e.mu.Unlock()
-		s.stream.queuePacket(okPacket(0, 0))
+		connection.stream.queuePacket(okPacket(0, 0))
 	case comQuery:
-		sql := string(arg)
-		var victim uint32
-		if n, _ := fmt.Sscanf(sql, "KILL QUERY %d", &victim); n == 1 {
-			e.kill(victim)
-			s.stream.queuePacket(okPacket(0, 0))
+		sql := string(argument)
+		var threadID uint32
+		if n, _ := fmt.Sscanf(sql, "KILL QUERY %d", &threadID); n == 1 {
+			e.kill(threadID)
+			connection.stream.queuePacket(okPacket(0, 0))
 			return true
 		}
-		return e.run(s, "query", sql, nil)
+		return e.run(connection, "query", sql, nil)
 	case comStmtPrepare:
-		sql := string(arg)
-		if act := e.step("prepare", sql); act != "" {
-			return e.misbehave(s, act, sql)
+		sql := string(argument)
+		if action := e.actionFor("prepare", sql); action != "" {
+			return e.act(connection, action, sql)
 		}
 		e.mu.Lock()
-		e.Prepares++
+		e.prepares++
 		e.mu.Unlock()
 		n := strings.Count(sql, "?")
-		s.lastStatementID++
-		s.statements[s.lastStatementID] = sql
-		b := binary.LittleEndian.AppendUint32([]byte{okMark}, s.lastStatementID)
-		s.stream.queuePacket(append(b, 0, 0, byte(n), 0, 0, 0, 0))
+		connection.lastStatementID++
+		connection.statements[connection.lastStatementID] = sql
+		b := binary.LittleEndian.AppendUint32([]byte{okMark}, connection.lastStatementID)
+		connection.stream.queuePacket(append(b, 0, 0, byte(n), 0, 0, 0, 0))
 		for range n {
-			s.stream.queuePacket(parameterColumn)
+			connection.stream.queuePacket(parameterColumn)
 		}
 		if n > 0 {
-			s.stream.queuePacket(eofPacket())
+			connection.stream.queuePacket(eofPacket())
 		}
 	case comStmtExecute:
-		sql, ok := s.statements[binary.LittleEndian.Uint32(arg)]
+		sql, ok := connection.statements[binary.LittleEndian.Uint32(argument)]
 		if !ok {
-			s.stream.queuePacket((&Error{1243, "HY000", "Unknown prepared statement handler"}).packet())
+			unknown := &Error{1243, "HY000", "Unknown prepared statement handler"}
+			connection.stream.queuePacket(unknown.packet())
 			return true
 		}
-		st := &preparedStatement{info: &statementInfo{params: strings.Count(sql, "?")}}
-		params, bad := st.bind(arg[4:])
-		if bad != nil {
-			s.stream.queuePacket(bad.packet())
+		statement := &preparedStatement{info: &statementInfo{params: strings.Count(sql, "?")}}
+		params, invalid := statement.bind(argument[4:])
+		if invalid != nil {
+			connection.stream.queuePacket(invalid.packet())
 			return true
 		}
-		return e.run(s, "execute", sql, params)
+		return e.run(connection, "execute", sql, params)
 	case comStmtClose:
-		delete(s.statements, binary.LittleEndian.Uint32(arg))
+		delete(connection.statements, binary.LittleEndian.Uint32(argument))
 	default:
-		s.stream.queuePacket((&Error{1047, "08S01", "unknown command"}).packet())
+		connection.stream.queuePacket((&Error{1047, "08S01", "unknown command"}).packet())
 	}
 	return true
 }
 
-func (e *FakeEngine) step(step, sql string) string {
+func (e *FakeEngine) actionFor(step, sql string) string {
 	e.mu.Lock()
-	on := e.On
+	behavior := e.behavior
 	e.mu.Unlock()
-	if on == nil {
+	if behavior == nil {
 		return ""
 	}
-	return on(step, sql)
+	return behavior(step, sql)
 }
 
 func (e *FakeEngine) kill(id uint32) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Kills++
-	if s := e.connections[id]; s != nil {
+	e.kills++
+	if connection := e.connections[id]; connection != nil {
 		select {
-		case s.killed <- struct{}{}:
+		case connection.killed <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (e *FakeEngine) misbehave(s *fakeConnection, act, sql string) bool {
+func (e *FakeEngine) act(connection *fakeConnection, action, sql string) bool {
 	var code uint16
-	switch n, _ := fmt.Sscanf(act, "error %d", &code); {
+	switch n, _ := fmt.Sscanf(action, "error %d", &code); {
 	case n == 1:
-		s.stream.queuePacket((&Error{code, "HY000", "as told"}).packet())
+		connection.stream.queuePacket((&Error{code, "HY000", "error requested by the test"}).packet())
 		return true
-	case act == "hang":
-		<-s.killed
-		s.stream.queuePacket((&Error{1317, "70100", "Query execution was interrupted"}).packet())
+	case action == "hang":
+		<-connection.killed
+		connection.stream.queuePacket((&Error{1317, "70100", "Query execution was interrupted"}).packet())
 		return true
-	case act == "run-die":
+	case action == "run-close":
 		e.count(sql)
 	}
 	return false
@@ -226,17 +235,17 @@
 
 // run answers a statement. A SELECT returns the engine's id, a number, a NULL and each
 // bound value.
-func (e *FakeEngine) run(s *fakeConnection, step, sql string, params []Param) bool {
-	if act := e.step(step, sql); act != "" {
-		return e.misbehave(s, act, sql)
+func (e *FakeEngine) run(connection *fakeConnection, step, sql string, params []Param) bool {
+	if action := e.actionFor(step, sql); action != "" {
+		return e.act(connection, action, sql)
 	}
 	e.count(sql)
 	if !strings.HasPrefix(strings.TrimSpace(sql), "SELECT") {
-		s.stream.queuePacket(okPacket(3, 77))
+		connection.stream.queuePacket(okPacket(3, 77))
 		return true
 	}
 	n := 3 + len(params)
-	s.stream.queuePacket(appendLengthEncodedInt(nil, uint64(n)))
+	connection.stream.queuePacket(appendLengthEncodedInt(nil, uint64(n)))
 	for i := range n {
 		kind := byte(typeVarString)
 		if i == 1 {
@@ -249,14 +258,14 @@
 		for _, t := range []string{"def", "", "t", "t", fmt.Sprintf("c%d", i), ""} {
 			b = appendLengthEncodedBytes(b, []byte(t))
 		}
-		s.stream.queuePacket(append(b, 0x0c, charsetUTF8, 0, 0, 1, 0, 0, kind, 0, 0, 0, 0, 0))
+		connection.stream.queuePacket(append(b, 0x0c, charsetUTF8, 0, 0, 1, 0, 0, kind, 0, 0, 0, 0, 0))
 	}
-	s.stream.queuePacket(eofPacket())
+	connection.stream.queuePacket(eofPacket())
 	for row := range 2 {
 		if step == "query" {
 			b := appendLengthEncodedBytes(nil, []byte(e.ID))
 			b = appendLengthEncodedBytes(b, fmt.Append(nil, row))
-			s.stream.queuePacket(append(b, 0xfb))
+			connection.stream.queuePacket(append(b, 0xfb))
 			continue
 		}
 		b := make([]byte, 1+(n+9)/8)
@@ -272,8 +281,8 @@
 		for _, p := range params {
 			b = append(b, p.Value...)
 		}
-		s.stream.queuePacket(b)
+		connection.stream.queuePacket(b)
 	}
-	s.stream.queuePacket(eofPacket())
+	connection.stream.queuePacket(eofPacket())
 	return true
 }
--- a/internal/mysql/fleet_test.go
+++ b/internal/mysql/fleet_test.go
@@ -108,7 +108,7 @@
 	t.Helper()
 	cfg, engines := configured(t, 3)
 	for _, e := range engines {
-		e.Set(runAtRandomLength(options.maxRunMS))
+		e.SetBehavior(runAtRandomLength(options.maxRunMS))
 	}
 	var addrs, paths []string
 	for range options.size {
@@ -231,7 +231,7 @@
 func (f *loadFleet) results() loadResults {
 	runs := map[string]int{}
 	for _, e := range f.engines {
-		for statement, times := range e.All() {
+		for statement, times := range e.RunCounts() {
 			runs[statement] += times
 		}
 	}
--- a/internal/mysql/harness_test.go
+++ b/internal/mysql/harness_test.go
@@ -117,7 +117,7 @@
 // set sets the behaviour of all engines.
 func (d *deployment) set(on func(step, sql string) string) {
 	for _, e := range d.engines {
-		e.Set(on)
+		e.SetBehavior(on)
 	}
 }
 
--- a/internal/mysql/leases.go
+++ b/internal/mysql/leases.go
@@ -20,7 +20,7 @@
 // acquireLease asks for a load's lease before anything is sent. If it is granted,
 // run is called with the time that remains, and calls its argument with the
 // outcome.
-func (s *Server) acquireLease(name, fingerprint string, t treatment, done func(outcome),
+func (s *Server) acquireLease(name, fingerprint string, t requestOptions, done func(outcome),
 	run func(remainingMS float64, done func(outcome)),
 ) {
 	requestedAt := s.loop.Now()
@@ -84,7 +84,7 @@
 	case lease.Conflict:
 		return outcome{err: errIDConflict}
 	case lease.Forgotten:
-		return outcome{err: &Error{codeForgotten, "08007", "this id is not remembered: it may have run"}}
+		return outcome{err: &Error{codeUnknownLoadID, "08007", "this id is not remembered: it may have run"}}
 	default:
 		s.Counters.Rejected++
 		return outcome{err: s.rejection()}
--- a/internal/mysql/loads.go
+++ b/internal/mysql/loads.go
@@ -27,11 +27,11 @@
 	waiters        []func(outcome)
 }
 
-func (s *Server) class(t treatment) *simproto.Class { return &s.config.Settings.Classes[t.class] }
+func (s *Server) class(t requestOptions) *simproto.Class { return &s.config.Settings.Classes[t.class] }
 
 // submitLoad takes a load with an id: a repeat gets the outcome of the first run,
 // and where the fleet keeps leases, one of them decides who runs it.
-func (s *Server) submitLoad(c *client, statement *Statement, info *statementInfo, t treatment, done func(outcome)) {
+func (s *Server) submitLoad(c *client, statement *Statement, info *statementInfo, t requestOptions, done func(outcome)) {
 	name := c.user + "\x00" + t.loadID
 	fingerprint := fingerprintOf(statement)
 	if s.joinLoad(c, name, fingerprint, done) {
--- a/internal/mysql/packet_test.go
+++ b/internal/mysql/packet_test.go
@@ -6,6 +6,7 @@
 	"errors"
 	"net"
 	"os"
+	"slices"
 	"syscall"
 	"testing"
 	"time"
@@ -18,8 +19,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// TestPacketsInPieces checks that packets read the same in whatever pieces they arrive.
-func TestPacketsInPieces(t *testing.T) {
+// TestPacketsInChunks checks that packets read the same in whatever pieces they arrive.
+func TestPacketsInChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		payloads := rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 3000), 1, 5).Draw(t, "payloads")
 		var out stream
@@ -53,9 +54,9 @@
 			params = append(params, p)
 		}
 		st := &preparedStatement{info: &statementInfo{params: n}}
-		got, bad := st.bind(encodeExecute(1, params)[4:])
-		if bad != nil {
-			t.Fatal(bad)
+		got, invalid := st.bind(encodeExecute(1, params)[4:])
+		if invalid != nil {
+			t.Fatal(invalid)
 		}
 		for i := range params {
 			if got[i].Null != params[i].Null || got[i].Type != params[i].Type || !bytes.Equal(got[i].Value, params[i].Value) {
@@ -68,7 +69,7 @@
 // TestMalformedPackets checks that malformed input to each parser is an error, never a
 // panic.
 func TestMalformedPackets(t *testing.T) {
-	login := binary.LittleEndian.AppendUint32(nil, ourCapabilities)
+	login := binary.LittleEndian.AppendUint32(nil, supportedCapabilities)
 	login = append(append(login, make([]byte, 28)...), "app\x00\x14aaaaaaaaaaaaaaaaaaaatrips\x00mysql_native_password\x00"...)
 	var result stream
 	result.queuePacket([]byte{1})
@@ -80,8 +81,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		_, _ = parseLogin(testprocess.MalformedMessage(t, string(login)))
 		st := &preparedStatement{info: &statementInfo{params: 2}}
-		if p, bad := st.bind(testprocess.MalformedMessage(t, string(execute[4:]))); bad == nil && len(p) != 2 {
-			t.Fatalf("%+v", p)
+		params, invalid := st.bind(testprocess.MalformedMessage(t, string(execute[4:])))
+		if invalid == nil && len(params) != 2 {
+			t.Fatalf("%+v", params)
 		}
 		s := &session{stream: newStream(testprocess.NewChunkedConn(t, testprocess.MalformedMessage(t, string(result.queued))))}
 		_, _ = s.readResult(1 << 20)
@@ -104,7 +106,7 @@
 	} {
 		s := inspect(sql)
 		if s.verb != want.verb || s.writes != want.writes || s.params != want.params || s.tableGroup != want.tableGroup || s.table != want.table ||
-			s.unusable != nil {
+			s.err != nil {
 			t.Errorf("%s: %+v", sql, s)
 		}
 	}
@@ -118,43 +120,44 @@
 	ended []control.Result
 }
 
-func (c *fakeLoop) Now() float64 { return c.now }
-func (c *fakeLoop) AttemptEnded(ev dispatch.AttemptEnded, _ any) {
-	c.ended = append(c.ended, ev.Result)
+func (l *fakeLoop) Now() float64 { return l.now }
+func (l *fakeLoop) AttemptEnded(ev dispatch.AttemptEnded, _ any) {
+	l.ended = append(l.ended, ev.Result)
 }
-func (c *fakeLoop) Logf(string, ...any)   {}
-func (c *fakeLoop) After(float64, func()) {}
+func (l *fakeLoop) Logf(string, ...any)   {}
+func (l *fakeLoop) After(float64, func()) {}
 
 // TestEvictionAndRemovedEngines checks that connections that never log in make room for
 // clients, and that removed engines are forgotten.
 func TestEvictionAndRemovedEngines(t *testing.T) {
-	h := &fakeLoop{now: 1000}
-	f := NewServer(h, &Config{})
-	var all []*client
-	for k := range 4 {
+	loop := &fakeLoop{now: 1000}
+	server := NewServer(loop, &Config{})
+	var clients []*client
+	for i := range 4 {
 		conn, _ := net.Pipe()
-		c := &client{server: f, stream: newStream(conn), connectedAtMS: float64(1000 + 100*k)}
-		f.clients[c] = true
-		all = append(all, c)
+		c := &client{server: server, stream: newStream(conn), connectedAtMS: float64(1000 + 100*i)}
+		server.clients[c] = true
+		clients = append(clients, c)
 	}
-	all[0].loggedIn.Store(true)
-	h.now = 1201 + evictableAfterMS
+	clients[0].loggedIn.Store(true)
+	loop.now = 1201 + evictableAfterMS
 	for _, want := range []bool{true, true, false} {
-		if got := f.evict(); got != want {
+		if got := server.evict(); got != want {
 			t.Errorf("evicted: %v, want %v", got, want)
 		}
 	}
-	if !f.clients[all[0]] || f.clients[all[1]] || f.clients[all[2]] || !f.clients[all[3]] {
+	open := server.clients
+	if !open[clients[0]] || open[clients[1]] || open[clients[2]] || !open[clients[3]] {
 		t.Error("not the oldest one without a login was evicted")
 	}
-	if all[1].stream.conn.SetDeadline(time.Time{}) == nil {
+	if clients[1].stream.conn.SetDeadline(time.Time{}) == nil {
 		t.Error("the connection stays open")
 	}
-	p := &Pool{loop: h, engines: map[string]*engine{}}
-	p.SetEndpoints([]Engine{{ID: "a"}, {ID: "b"}}, nil)
-	p.SetEndpoints([]Engine{{ID: "b"}}, nil)
-	if len(p.engines) != 1 || p.engines["b"] == nil {
-		t.Errorf("%d engines known", len(p.engines))
+	pool := &Pool{loop: loop, engines: map[string]*engine{}}
+	pool.SetEndpoints([]Engine{{ID: "a"}, {ID: "b"}}, nil)
+	pool.SetEndpoints([]Engine{{ID: "b"}}, nil)
+	if len(pool.engines) != 1 || pool.engines["b"] == nil {
+		t.Errorf("%d engines known", len(pool.engines))
 	}
 }
 
@@ -166,35 +169,35 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	f := NewServer(&fakeLoop{}, &Config{})
-	var all []*client
+	server := NewServer(&fakeLoop{}, &Config{})
+	var clients []*client
 	for range 2 {
-		theirs, err := net.Dial("tcp", l.Addr().String())
+		clientConn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = theirs.Close() }()
-		ours, err := l.Accept()
+		defer func() { _ = clientConn.Close() }()
+		serverConn, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = ours.Close() }()
-		if len(all) == 0 {
-			if _, err := theirs.Write([]byte{1, 0, 0, 0, comPing}); err != nil {
+		defer func() { _ = serverConn.Close() }()
+		if len(clients) == 0 {
+			if _, err := clientConn.Write([]byte{1, 0, 0, 0, comPing}); err != nil {
 				t.Fatal(err)
 			}
-			testprocess.Until(t, "the command", func() bool { return lineproto.HasUnread(ours) })
+			testprocess.Until(t, "the command", func() bool { return lineproto.HasUnread(serverConn) })
 		}
-		c := &client{server: f, stream: newStream(ours)}
-		f.clients[c] = true
-		all = append(all, c)
+		c := &client{server: server, stream: newStream(serverConn)}
+		server.clients[c] = true
+		clients = append(clients, c)
 	}
-	f.BeginShutdown()
-	if p, err := all[0].stream.readPacket(); err != nil || p[0] != comPing {
+	server.BeginShutdown()
+	if p, err := clients[0].stream.readPacket(); err != nil || p[0] != comPing {
 		t.Errorf("the command that had arrived: %v, %v", p, err)
 	}
-	var late net.Error
-	if _, err := all[1].stream.readPacket(); !errors.As(err, &late) || !late.Timeout() {
+	var netError net.Error
+	if _, err := clients[1].stream.readPacket(); !errors.As(err, &netError) || !netError.Timeout() {
 		t.Errorf("the idle client: %v", err)
 	}
 }
@@ -202,16 +205,18 @@
 // TestConnectionShortage checks that a shortage of connections or descriptors of this
 // process is not held against the engine: nothing was sent.
 func TestConnectionShortage(t *testing.T) {
-	h := &fakeLoop{}
-	p := &Pool{loop: h, engines: map[string]*engine{}}
-	p.SetEndpoints([]Engine{{ID: "a"}}, nil)
-	p.StartAttempt(dispatch.StartAttempt{RequestID: "1", Engine: "a"}, 0, &Statement{})
-	m := p.engines["a"]
-	failed := &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
-	for _, err := range []error{failed, net.ErrClosed} {
-		p.attemptEnded(&attempt{session: newSession(m)}, attemptDone{err: notWrittenError{err}, broken: true})
+	loop := &fakeLoop{}
+	pool := &Pool{loop: loop, engines: map[string]*engine{}}
+	pool.SetEndpoints([]Engine{{ID: "a"}}, nil)
+	pool.StartAttempt(dispatch.StartAttempt{RequestID: "1", Engine: "a"}, 0, &Statement{})
+	target := pool.engines["a"]
+	socketError := &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
+	for _, err := range []error{socketError, net.ErrClosed} {
+		done := attemptDone{err: notWrittenError{err}, broken: true}
+		pool.attemptEnded(&attempt{session: newSession(target)}, done)
 	}
-	if len(h.ended) != 3 || h.ended[0] != control.NotSent || h.ended[1] != control.NotSent || h.ended[2] != control.ConnectFailed {
-		t.Errorf("ended %v", h.ended)
+	want := []control.Result{control.NotSent, control.NotSent, control.ConnectFailed}
+	if !slices.Equal(loop.ended, want) {
+		t.Errorf("ended %v, want %v", loop.ended, want)
 	}
 }
--- a/internal/mysql/prepared.go
+++ b/internal/mysql/prepared.go
@@ -48,9 +48,9 @@
 	}
 	c.lastStatementID++
 	c.statements[c.lastStatementID] = &preparedStatement{sql: sql, database: c.database, info: info}
-	answer := binary.LittleEndian.AppendUint32([]byte{okMark}, c.lastStatementID)
-	answer = append(answer, 0, 0, byte(info.params), byte(info.params>>8), 0, 0, 0)
-	c.stream.queuePacket(answer)
+	response := binary.LittleEndian.AppendUint32([]byte{okMark}, c.lastStatementID)
+	response = append(response, 0, 0, byte(info.params), byte(info.params>>8), 0, 0, 0)
+	c.stream.queuePacket(response)
 	if info.params == 0 {
 		return
 	}
@@ -128,7 +128,7 @@
 		c.writeError(invalid)
 		return true
 	}
-	if statement.info.answeredHere {
+	if statement.info.isNoOp {
 		c.writeOK()
 		return true
 	}
@@ -169,7 +169,7 @@
 	}
 	params := make([]Param, count)
 	for i := range params {
-		params[i] = s.bindOne(&r, i, nulls[i/8]&(1<<(i%8)) != 0)
+		params[i] = s.bindParameter(&r, i, nulls[i/8]&(1<<(i%8)) != 0)
 	}
 	if r.malformed || len(r.rest) > 0 {
 		return nil, malformedExecute()
@@ -177,7 +177,7 @@
 	return params, nil
 }
 
-func (s *preparedStatement) bindOne(r *payloadReader, index int, null bool) Param {
+func (s *preparedStatement) bindParameter(r *payloadReader, index int, null bool) Param {
 	p := Param{Type: s.parameterTypes[2*index], Flag: s.parameterTypes[2*index+1]}
 	if long, found := s.longData[index]; found {
 		if form, _ := binaryForm(p.Type); form != lengthEncoded {
--- a/internal/mysql/program_test.go
+++ b/internal/mysql/program_test.go
@@ -19,9 +19,9 @@
 	"dewhill/internal/testprocess"
 )
 
-// TestRows checks that rows arrive as the engine sent them: text and binary, NULL, long
+// TestRowsPassThroughUnchanged checks that rows arrive as the engine sent them: text and binary, NULL, long
 // data.
-func TestRows(t *testing.T) {
+func TestRowsPassThroughUnchanged(t *testing.T) {
 	d := deploy(t, 2, nil)
 	var id string
 	var n int
@@ -67,7 +67,7 @@
 // prepare and execute, and which so never ran, runs on another engine, once.
 func TestConnectionBreaksAfterPrepare(t *testing.T) {
 	d := deploy(t, 2, nil)
-	d.set(once("prepare", "INSERT", "die"))
+	d.set(once("prepare", "INSERT", "close"))
 	d.exec("INSERT INTO trips_1.t VALUES (?)", 5)
 	d.wantRan("INSERT", 1)
 	// Sessions that hold the handle may have been closed by their engine since.
@@ -81,14 +81,14 @@
 // run and fails with an error that says so, while a read is retried.
 func TestConnectionBreaksAfterExecute(t *testing.T) {
 	d := deploy(t, 2, nil)
-	for _, act := range []string{"die", "run-die"} {
+	for _, act := range []string{"close", "run-close"} {
 		d.set(once("execute", "INSERT INTO trips_1."+act, act))
 		_, err := d.db.Exec("INSERT INTO trips_1."+act+" VALUES (?)", 5)
 		d.wantCode(err, 1180, "08007")
 	}
-	d.wantRan("INSERT INTO trips_1.die", 0)
-	d.wantRan("INSERT INTO trips_1.run-die", 1)
-	d.set(once("execute", "SELECT", "run-die"))
+	d.wantRan("INSERT INTO trips_1.close", 0)
+	d.wantRan("INSERT INTO trips_1.run-close", 1)
+	d.set(once("execute", "SELECT", "run-close"))
 	var id, null any
 	var n, v int
 	if err := d.db.QueryRow("SELECT a FROM trips_1.t WHERE b = ?", 7).Scan(&id, &n, &null, &v); err != nil || v != 7 {
@@ -97,9 +97,9 @@
 	d.wantRan("SELECT", 2)
 }
 
-// TestHandleOutlivesItsEngine checks that a client's handle is prepared on another engine
+// TestHandleIsPreparedOnAnotherEngine checks that a client's handle is prepared on another engine
 // when its engine drains.
-func TestHandleOutlivesItsEngine(t *testing.T) {
+func TestHandleIsPreparedOnAnotherEngine(t *testing.T) {
 	d := deploy(t, 2, nil)
 	st, err := d.db.Prepare("INSERT INTO trips_1.t VALUES (?)")
 	if err != nil {
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestEngineForgetsHandle checks that an engine that no longer knows a handle has run
+// TestUnknownHandleIsPreparedAgain checks that an engine that no longer knows a handle has run
 // nothing.
-func TestEngineForgetsHandle(t *testing.T) {
+func TestUnknownHandleIsPreparedAgain(t *testing.T) {
 	d := deploy(t, 2, nil)
 	d.set(once("execute", "INSERT", "error 1243"))
 	d.exec("INSERT INTO trips_1.t VALUES (?)", 1)
@@ -204,9 +204,9 @@
 	testprocess.Until(t, "the kill", func() bool { _, kills := d.engines[0].Counts(); return kills == 1 })
 }
 
-// TestNothingRan checks that with no engine in reach, where every attempt provably never
+// TestRejectedWithoutReachableEngine checks that with no engine in reach, where every attempt provably never
 // ran, the answer is a rejection with a time to wait, never "may have run".
-func TestNothingRan(t *testing.T) {
+func TestRejectedWithoutReachableEngine(t *testing.T) {
 	dead := testprocess.FreeAddr(t)
 	d := deploy(t, 1, func(c *mysql.Config) { c.Engines[0].Address = dead })
 	_, err := d.db.Exec("/* dewhill: deadline=400 */ INSERT INTO trips_1.t VALUES (?)", 1)
@@ -216,8 +216,8 @@
 	}
 }
 
-// TestKnownID checks that a repeated load gets the outcome of its run, whatever it was.
-func TestKnownID(t *testing.T) {
+// TestRepeatedLoadGetsFirstOutcome checks that a repeated load gets the outcome of its run, whatever it was.
+func TestRepeatedLoadGetsFirstOutcome(t *testing.T) {
 	d := deploy(t, 2, func(c *mysql.Config) { c.Limits.KnownIDs = 3 })
 	exec := func(id, table string) error {
 		_, err := d.db.Exec("/* dewhill: id="+id+" */ INSERT INTO trips_1."+table+" VALUES (?)", 1)
@@ -229,7 +229,7 @@
 		}
 	}
 	d.wantRan("/* dewhill: id=up-1", 1)
-	d.set(once("execute", "/* dewhill: id=up-2", "run-die"))
+	d.set(once("execute", "/* dewhill: id=up-2", "run-close"))
 	for range 2 {
 		d.wantCode(exec("up-2", "a"), 1180, "08007")
 	}
@@ -247,9 +247,9 @@
 	d.wantRan("/* dewhill: id=up-1", 2)
 }
 
-// TestKnownIDConcurrently checks that one load repeated on many connections at the same
+// TestConcurrentRepeatsRunOnce checks that one load repeated on many connections at the same
 // time runs once.
-func TestKnownIDConcurrently(t *testing.T) {
+func TestConcurrentRepeatsRunOnce(t *testing.T) {
 	d := deploy(t, 2, nil)
 	var wg sync.WaitGroup
 	for range 8 {
@@ -259,9 +259,9 @@
 	d.wantRan("/* dewhill: id=same", 1)
 }
 
-// TestNotServed checks that what a shared connection can't offer is an error, never
+// TestUnsupportedStatements checks that what a shared connection can't offer is an error, never
 // ignored, and that a hint can't make a write idempotent.
-func TestNotServed(t *testing.T) {
+func TestUnsupportedStatements(t *testing.T) {
 	d := deploy(t, 1, nil)
 	for _, q := range []string{"BEGIN", "START TRANSACTION", "COMMIT", "SET @a = 1", "SELECT @a", "SELECT LAST_INSERT_ID()",
 		"LOCK TABLES t READ", "SELECT 1; SELECT 2", "LOAD DATA LOCAL INFILE 'x' INTO TABLE t", "CREATE TEMPORARY TABLE t (a INT)",
@@ -347,8 +347,8 @@
 	}
 }
 
-// TestInvalidFile checks that an invalid file ends the program with one clear line.
-func TestInvalidFile(t *testing.T) {
+// TestInvalidConfigFile checks that an invalid file ends the program with one clear line.
+func TestInvalidConfigFile(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"on":true,"listn":"x"}`: "listn",
 		`{"on":true,"listen":"127.0.0.1:0","accounts":[{}],"engines":[{"id":"a","address":"nowhere"}]}`: "engine a",
@@ -363,8 +363,8 @@
 	}
 }
 
-// TestImportedFile checks that the program serves with the file that the importer writes.
-func TestImportedFile(t *testing.T) {
+// TestImportedConfigFile checks that the program serves with the file that the importer writes.
+func TestImportedConfigFile(t *testing.T) {
 	e := mysql.NewFakeEngine(t, "db1", "")
 	listen := testprocess.FreeAddr(t)
 	text := fmt.Sprintf("defaults\n  mode tcp\n  timeout server 20s\n  timeout connect 5s\nfrontend f\n  bind %s\n"+
--- a/internal/mysql/protocol.go
+++ b/internal/mysql/protocol.go
@@ -26,21 +26,21 @@
 
 // The capabilities in the handshake.
 const (
-	capLongPassword  = 1 << 0
-	capConnectWithDB = 1 << 3
-	capLocalFiles    = 1 << 7
-	capProtocol41    = 1 << 9
-	capSSL           = 1 << 11
-	capTransactions  = 1 << 13
-	capSecure        = 1 << 15
-	capMulti         = 1 << 16
-	capPluginAuth    = 1 << 19
-	capConnectAttrs  = 1 << 20
-	capLenencAuth    = 1 << 21
-	capDeprecateEOF  = 1 << 24
+	capLongPassword     = 1 << 0
+	capConnectWithDB    = 1 << 3
+	capLocalFiles       = 1 << 7
+	capProtocol41       = 1 << 9
+	capSSL              = 1 << 11
+	capTransactions     = 1 << 13
+	capSecureConnection = 1 << 15
+	capMultiStatements  = 1 << 16
+	capPluginAuth       = 1 << 19
+	capConnectAttrs     = 1 << 20
+	capLenencAuth       = 1 << 21
+	capDeprecateEOF     = 1 << 24
 
-	ourCapabilities = capLongPassword | capConnectWithDB | capProtocol41 | capTransactions | capSecure |
-		capPluginAuth | capLenencAuth
+	supportedCapabilities = capLongPassword | capConnectWithDB | capProtocol41 | capTransactions |
+		capSecureConnection | capPluginAuth | capLenencAuth
 )
 
 // The numbers of the handshake.
@@ -127,7 +127,7 @@
 	codeWrongArguments     = 1210
 	codeRejected           = 1226 // nothing ran; the message has the time to wait
 	codeInvalidHint        = 1231
-	codeForgotten          = 1233 // a retry whose id nobody remembers: it may have run
+	codeUnknownLoadID      = 1233 // a retry whose id nobody remembers: it may have run
 	codeNotSupported       = 1235
 	codeUnknownHandle      = 1243
 	codeQueryInterrupted   = 1317
--- a/internal/mysql/server.go
+++ b/internal/mysql/server.go
@@ -22,8 +22,8 @@
 	// After runs f on the event loop after a delay.
 	After(delayMS float64, f func())
 	// Submit takes a request whose work is a *Statement. Unless it returns an
-	// error, answer is called once, with a *Result if the request was served.
-	Submit(r dispatch.Request, work any, answer func(dispatch.Response, any)) error
+	// error, respond is called once, with a *Result if the request was served.
+	Submit(r dispatch.Request, work any, respond func(dispatch.Response, any)) error
 	// AbandonRequest cancels a request whose client has disconnected.
 	AbandonRequest(id string)
 	// DetachRequest notes that nobody waits for a request whose outcome still
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -20,8 +20,8 @@
 	tableGroup      int
 	withoutComments string
 	hints           map[string]string
-	unusable        *Error // why it can't be served
-	answeredHere    bool   // answered with OK: it says what holds anyway
+	err             *Error // why it can't be served
+	isNoOp          bool   // answered with OK: it says what holds anyway
 }
 
 var (
@@ -48,7 +48,7 @@
 	tableKeywords = []string{"FROM", "JOIN", "INTO", "UPDATE", "TABLE"}
 
 	// Statements that ask for what holds anyway, with spaces folded.
-	redundantStatements = []string{"SET AUTOCOMMIT=1", "SET AUTOCOMMIT=ON", "SET NAMES UTF8MB4", "SET NAMES UTF8",
+	noOpStatements = []string{"SET AUTOCOMMIT=1", "SET AUTOCOMMIT=ON", "SET NAMES UTF8MB4", "SET NAMES UTF8",
 		"SET NAMES 'UTF8MB4'", "SET NAMES 'UTF8'"}
 )
 
@@ -64,7 +64,7 @@
 		tokens = tokens[1:]
 	}
 	if len(tokens) == 0 {
-		s.unusable = &Error{codeEmptyQuery, "42000", "Query was empty"}
+		s.err = &Error{codeEmptyQuery, "42000", "Query was empty"}
 		return s
 	}
 	s.verb = strings.ToUpper(tokens[0].Text)
@@ -141,10 +141,10 @@
 		s.params++
 	case ";":
 		if moreFollows {
-			s.unusable = unsupported("more than one statement")
+			s.err = unsupported("more than one statement")
 		}
 	case "@":
-		s.unusable = unsupported("variables of a session")
+		s.err = unsupported("variables of a session")
 	}
 }
 
@@ -153,11 +153,11 @@
 	case slices.Contains(writeKeywords, keyword):
 		s.writes = true
 	case keyword == "LOCAL" && s.verb == "LOAD":
-		s.unusable = unsupported("LOAD DATA LOCAL")
+		s.err = unsupported("LOAD DATA LOCAL")
 	case keyword == "TEMPORARY" && s.verb == "CREATE":
-		s.unusable = unsupported("temporary tables")
+		s.err = unsupported("temporary tables")
 	case isCall && slices.Contains(sessionFunctions, keyword):
-		s.unusable = unsupported("%s()", keyword)
+		s.err = unsupported("%s()", keyword)
 	}
 }
 
@@ -181,9 +181,9 @@
 	text = strings.ToUpper(strings.Join(strings.Fields(text), " "))
 	text = strings.ReplaceAll(text, " =", "=")
 	text = strings.ReplaceAll(text, "= ", "=")
-	if slices.Contains(redundantStatements, text) {
-		s.answeredHere = true
+	if slices.Contains(noOpStatements, text) {
+		s.isNoOp = true
 		return
 	}
-	s.unusable = unsupported("%s: each statement stands alone and may go to any engine", s.verb)
+	s.err = unsupported("%s: each statement stands alone and may go to any engine", s.verb)
 }
--- a/internal/mysql/submit.go
+++ b/internal/mysql/submit.go
@@ -25,7 +25,7 @@
 	if c.disconnected {
 		return // noted ahead of what it sent
 	}
-	treatment, invalid := s.classify(info, c.user, statement)
+	options, invalid := s.classify(info, c.user, statement)
 	if invalid != nil {
 		done(outcome{err: invalid})
 		return
@@ -35,16 +35,16 @@
 		done(outcome{err: s.rejection()})
 		return
 	}
-	if treatment.loadID == "" || s.class(treatment).Idempotency == idempotent {
-		treatment.loadID = ""
-		s.start(c, statement, info, treatment, done)
+	if options.loadID == "" || s.class(options).Idempotency == idempotent {
+		options.loadID = ""
+		s.start(c, statement, info, options, done)
 		return
 	}
-	s.submitLoad(c, statement, info, treatment, done)
+	s.submitLoad(c, statement, info, options, done)
 }
 
 // start hands a statement to the event loop.
-func (s *Server) start(c *client, statement *Statement, info *statementInfo, t treatment, done func(outcome)) {
+func (s *Server) start(c *client, statement *Statement, info *statementInfo, t requestOptions, done func(outcome)) {
 	s.lastRequestID++
 	now := s.loop.Now()
 	request := dispatch.Request{
--- a/internal/sqlscan/scan_test.go
+++ b/internal/sqlscan/scan_test.go
@@ -8,7 +8,7 @@
 
 // TestTableGroup checks that strings, comments and aliases do not pass for tables.
 func TestTableGroup(t *testing.T) {
-	for s, want := range map[string]int{
+	for sql, want := range map[string]int{
 		"SELECT day, count(*) FROM sales_17.orders WHERE tag = '3f9c'":      17,
 		"SELECT 'x_1.t' FROM `sales_2`.`t` -- from y_3.t":                   2,
 		"/* FROM a_9.t */ INSERT INTO \"dock_4\".t SELECT * FROM staging.x": 4,
@@ -22,24 +22,24 @@
 		"SELECT x FROM many_99999999999.t":                                  NoTableGroup,
 		"SELECT note FROM t WHERE note = \"from a_1.t\"":                    NoTableGroup,
 	} {
-		if got := TableGroup(s); got != want {
-			t.Errorf("%q: group %d, want %d", s, got, want)
+		if got := TableGroup(sql); got != want {
+			t.Errorf("%q: group %d, want %d", sql, got, want)
 		}
 	}
 }
 
-// TestScanAnything checks that any text yields tokens at rising offsets within it, without
+// TestScanArbitraryText checks that any text yields tokens at rising offsets within it, without
 // a panic.
-func TestScanAnything(t *testing.T) {
+func TestScanArbitraryText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := rapid.StringOf(rapid.RuneFrom([]rune("a_1.`'\"\\/*-# \n;?é"))).Draw(t, "s")
+		sql := rapid.StringOf(rapid.RuneFrom([]rune("a_1.`'\"\\/*-# \n;?é"))).Draw(t, "sql")
 		last := -1
-		for _, k := range Scan(s) {
-			if k.Offset <= last || k.Offset >= len(s) {
-				t.Fatalf("token at %d after %d in %q", k.Offset, last, s)
+		for _, token := range Scan(sql) {
+			if token.Offset <= last || token.Offset >= len(sql) {
+				t.Fatalf("token at %d after %d in %q", token.Offset, last, sql)
 			}
-			last = k.Offset
+			last = token.Offset
 		}
-		TableGroup(s)
+		TableGroup(sql)
 	})
 }
