--- a/internal/sqlscan/scan.go
+++ b/internal/sqlscan/scan.go
@@ -1,32 +1,31 @@
-// Package sqlscan reads from a statement's text what a front end needs to know:
-// its tokens, without being misled by strings and comments, and the group of
-// tables that it names.
+// Package sqlscan splits an SQL statement into tokens, keeping strings and comments
+// apart from keywords, and determines the group of tables that the statement uses.
 package sqlscan
 
 import "strings"
 
-// Kind is the kind of a token.
+// Kind is the lexical category of a token.
 type Kind int
 
-// The kinds of tokens.
+// Kinds of tokens.
 const (
 	Identifier Kind = iota // a name or keyword
 	String
 	Number
-	Symbol // any other single byte
+	Symbol // a single byte of any other kind
 	Comment
 )
 
-// Token is a token of a statement.
+// Token is a lexical element of a statement.
 type Token struct {
 	Kind   Kind
 	Text   string // without quotes or comment marks
-	Quoted bool   // an Identifier in quotes is not a keyword
-	Offset int    // in the statement, in bytes
+	Quoted bool   // enclosed in quotes; a quoted Identifier is not a keyword
+	Offset int    // position of the first byte in the statement
 }
 
 // Scan splits a statement into tokens. A string or comment that is not closed
-// reaches to the end.
+// extends to the end of the statement.
 func Scan(sql string) []Token {
 	var tokens []Token
 	offset := 0
@@ -42,7 +41,7 @@
 	return tokens
 }
 
-// scanToken returns the token at an offset, and the offset behind it.
+// scanToken returns the token at an offset and the offset after the token.
 func scanToken(sql string, offset int) (Token, int) {
 	first := sql[offset]
 	switch {
@@ -63,8 +62,8 @@
 	}
 }
 
-// scanQuoted scans a string or a quoted name. Double quotes enclose a name if a
-// dot joins it to another one, else a string.
+// scanQuoted scans a string or a quoted name. Double quotes enclose a name if a dot
+// directly precedes or follows them, and a string otherwise.
 func scanQuoted(sql string, offset int) (Token, int) {
 	text, end := unquote(sql, offset)
 	joined := end < len(sql) && sql[end] == '.' || offset > 0 && sql[offset-1] == '.'
@@ -75,8 +74,8 @@
 	return Token{Kind: kind, Text: text, Quoted: true, Offset: offset}, end
 }
 
-// unquote returns what the quote at an offset encloses, and the offset behind
-// it.
+// unquote returns the text between the quote at an offset and its closing quote, and
+// the offset after the closing quote.
 func unquote(sql string, offset int) (string, int) {
 	quote := sql[offset]
 	start := offset + 1
@@ -85,7 +84,7 @@
 		case sql[i] == '\\' && quote != '`':
 			i++
 		case sql[i] != quote:
-		case i+1 < len(sql) && sql[i+1] == quote: // doubled, it stands for itself
+		case i+1 < len(sql) && sql[i+1] == quote: // a doubled quote is a literal quote
 			i++
 		default:
 			return sql[start:i], i + 1
--- a/internal/sqlscan/scan_test.go
+++ b/internal/sqlscan/scan_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestTableGroup checks that strings, comments and aliases do not pass for tables.
+// TestTableGroup checks that strings, comments and aliases are not mistaken for tables.
 func TestTableGroup(t *testing.T) {
 	for sql, want := range map[string]int{
 		"SELECT day, count(*) FROM sales_17.orders WHERE tag = '3f9c'":      17,
@@ -28,15 +28,15 @@
 	}
 }
 
-// TestScanArbitraryText checks that any text yields tokens at rising offsets within it, without
-// a panic.
+// TestScanArbitraryText checks that Scan does not panic on any text and returns tokens at
+// increasing offsets within the text.
 func TestScanArbitraryText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sql := rapid.StringOf(rapid.RuneFrom([]rune("a_1.`'\"\\/*-# \n;?é"))).Draw(t, "sql")
 		last := -1
 		for _, token := range Scan(sql) {
 			if token.Offset <= last || token.Offset >= len(sql) {
-				t.Fatalf("token at %d after %d in %q", token.Offset, last, sql)
+				t.Fatalf("token at offset %d after offset %d in %q", token.Offset, last, sql)
 			}
 			last = token.Offset
 		}
--- a/internal/sqlscan/tablegroup.go
+++ b/internal/sqlscan/tablegroup.go
@@ -5,19 +5,20 @@
 	"strings"
 )
 
-// NoTableGroup stands for a statement that names no group of tables.
+// NoTableGroup is returned for a statement that names no group of tables.
 const NoTableGroup = -1
 
-// maxGroupDigits bounds the number in a schema's name.
+// maxGroupDigits is the maximum number of digits of the group in a schema's name.
 const maxGroupDigits = 8
 
-// tableKeywords stand before a table's name.
+// tableKeywords are the keywords that precede a table's name.
 var tableKeywords = map[string]bool{"from": true, "join": true, "into": true, "update": true, "table": true}
 
-// TableGroup returns the group of tables that a statement reads or writes: the
-// number behind the underscore in its schema's name. The first schema behind a
-// table keyword counts, else the first in the text, as a qualified column may
-// have an alias that looks like a schema.
+// TableGroup returns the group of tables that a statement reads or writes: the number
+// after the last underscore of the schema's name. The first schema after a table
+// keyword takes precedence over schemas elsewhere in the text, because the alias that
+// qualifies a column may look like a schema. Without a table keyword, the first schema
+// in the text is used.
 func TableGroup(sql string) int {
 	tokens := slices.DeleteFunc(Scan(sql), func(t Token) bool { return t.Kind == Comment })
 	found := NoTableGroup
@@ -40,7 +41,7 @@
 	return t.Kind == Identifier && !t.Quoted && tableKeywords[strings.ToLower(t.Text)]
 }
 
-// schemaGroup returns the group in a qualified name at the start of the tokens.
+// schemaGroup returns the group of the schema if the tokens start with a qualified name.
 func schemaGroup(tokens []Token) int {
 	if len(tokens) < 3 || tokens[0].Kind != Identifier || tokens[2].Kind != Identifier {
 		return NoTableGroup
@@ -51,7 +52,7 @@
 	return groupNumber(tokens[0].Text)
 }
 
-// groupNumber returns the number behind the last underscore of a schema's name.
+// groupNumber returns the number after the last underscore of a schema's name.
 func groupNumber(schema string) int {
 	underscore := strings.LastIndexByte(schema, '_')
 	if underscore <= 0 {
