--- a/internal/mysql/auth.go
+++ b/internal/mysql/auth.go
@@ -14,21 +14,21 @@
 
 const (
 	serverVersion = "8.0.0-dewhill\x00"
-	// authDataBytes is the length of the challenge with its end, as the greeting
-	// states it.
+	// authDataBytes is the length of the challenge in the greeting, including the
+	// terminating zero byte.
 	authDataBytes               = challengeBytes + 1
 	greetingReserved            = 10
 	loginReserved               = 23
-	maxAuthPackets              = 4 // from an engine, until it accepts or refuses
+	maxAuthPackets              = 4 // sent by an engine until it accepts or rejects a login
 	minChallengeSecondPartBytes = 13
 )
 
 var (
 	errUnsupportedAuth = errors.New("authentication method is not supported")
-	errNeedsTLS        = errors.New("engine asks for full authentication, which needs TLS: not supported")
+	errNeedsTLS        = errors.New("engine requires full authentication, which needs TLS: not supported")
 )
 
-// scrambleNative answers a challenge by mysql_native_password.
+// scrambleNative returns the response to a challenge by mysql_native_password.
 func scrambleNative(challenge []byte, password string) []byte {
 	if password == "" {
 		return nil
@@ -42,7 +42,7 @@
 	return mixed[:]
 }
 
-// scrambleCaching answers a challenge by caching_sha2_password.
+// scrambleCaching returns the response to a challenge by caching_sha2_password.
 func scrambleCaching(challenge []byte, password string) []byte {
 	if password == "" {
 		return nil
@@ -63,7 +63,7 @@
 	case cachingPassword:
 		return scrambleCaching(challenge, password), nil
 	default:
-		return nil, fmt.Errorf("engine asks for %q: %w", plugin, errUnsupportedAuth)
+		return nil, fmt.Errorf("engine requires %q: %w", plugin, errUnsupportedAuth)
 	}
 }
 
@@ -71,12 +71,12 @@
 	challenge := make([]byte, challengeBytes)
 	_, _ = rand.Read(challenge) // never fails
 	for i := range challenge {
-		challenge[i] = challenge[i]%94 + 33 // printable: a zero byte would end it
+		challenge[i] = challenge[i]%94 + 33 // printable, as a zero byte would terminate the challenge
 	}
 	return challenge
 }
 
-// greetingPacket begins the handshake with a client.
+// greetingPacket returns the packet that starts the handshake with a client.
 func greetingPacket(connectionID uint32, challenge []byte) []byte {
 	capabilities := uint32(supportedCapabilities)
 	p := append([]byte{protocolVersion}, serverVersion...)
@@ -91,7 +91,7 @@
 	return append(p, nativePassword+"\x00"...)
 }
 
-// loginResponse is a client's answer to the greeting.
+// loginResponse is a client's response to the greeting.
 type loginResponse struct {
 	capabilities uint32
 	user         string
@@ -102,11 +102,11 @@
 
 func (l *loginResponse) has(capability uint32) bool { return l.capabilities&capability != 0 }
 
-// parseLogin reads a client's answer to the greeting.
+// parseLogin parses a client's response to the greeting.
 func parseLogin(payload []byte) (*loginResponse, error) {
 	r := payloadReader{rest: payload}
 	l := &loginResponse{capabilities: uint32(r.uint(4))}
-	r.take(4 + 1 + loginReserved) // longest packet, character set
+	r.take(4 + 1 + loginReserved) // maximum packet size, character set and reserved bytes
 	if !l.has(capProtocol41) || l.has(capSSL) {
 		return nil, &Error{codeBadHandshake, "08S01", "only protocol 4.1 without TLS is spoken here"}
 	}
@@ -131,7 +131,8 @@
 	return l, nil
 }
 
-// authenticate greets a client and checks its account. A refusal is an *Error.
+// authenticate sends the greeting to a client and checks its user and password. The
+// error is an *Error if the login is rejected.
 func (s *Server) authenticate(stream *stream, connectionID uint32) (*loginResponse, error) {
 	challenge := newChallenge()
 	stream.queuePacket(greetingPacket(connectionID, challenge))
@@ -164,8 +165,8 @@
 	return l, stream.flush()
 }
 
-// switchToNative asks a client to authenticate by mysql_native_password and
-// returns its answer.
+// switchToNative asks a client to authenticate by mysql_native_password and returns
+// the client's response to the challenge.
 func switchToNative(stream *stream, challenge []byte) ([]byte, error) {
 	payload := append([]byte{eofMark}, nativePassword+"\x00"...)
 	payload = append(payload, challenge...)
@@ -176,8 +177,8 @@
 	return stream.readPacket()
 }
 
-// findAccount returns the account of a user that answered the challenge with its
-// password; nil if there is none.
+// findAccount returns the account of a user if auth is the correct response to the
+// challenge for its password, and nil otherwise.
 func (s *Server) findAccount(user string, challenge, auth []byte) *Account {
 	for i := range s.accounts {
 		account := &s.accounts[i]
@@ -189,21 +190,22 @@
 	return nil
 }
 
-// engineGreeting is what an engine says first.
+// engineGreeting is the first packet that an engine sends on a connection.
 type engineGreeting struct {
 	threadID  uint32
 	challenge []byte
 	plugin    string
 }
 
-// parseEngineGreeting reads an engine's greeting. An error packet is an *Error.
+// parseEngineGreeting parses an engine's greeting. The error is an *Error if the engine
+// sent an error packet instead.
 func parseEngineGreeting(payload []byte) (*engineGreeting, error) {
 	if isError(payload) {
 		return nil, parseError(payload)
 	}
 	r := payloadReader{rest: payload}
 	if version := r.uint(1); version != protocolVersion {
-		return nil, fmt.Errorf("%w: protocol %d", errProtocol, version)
+		return nil, fmt.Errorf("%w: protocol version %d", errProtocol, version)
 	}
 	r.nullTerminated() // the engine's version
 	g := &engineGreeting{threadID: uint32(r.uint(4)), plugin: nativePassword}
@@ -228,7 +230,7 @@
 	return g, nil
 }
 
-// loginPacket is this program's answer to an engine's greeting.
+// loginPacket returns the response to an engine's greeting.
 func loginPacket(user, database, plugin string, auth []byte) []byte {
 	capabilities := uint32(supportedCapabilities &^ capConnectWithDB &^ capLenencAuth)
 	if database != "" {
@@ -249,8 +251,8 @@
 	return append(p, 0)
 }
 
-// logIn logs in to an engine and returns the engine's number for the connection.
-// A refusal is an *Error.
+// logIn logs in to an engine and returns the engine's thread id for the connection. The
+// error is an *Error if the engine rejects the login.
 func logIn(stream *stream, user, password, database string) (threadID uint32, err error) {
 	payload, err := stream.readPacket()
 	if err != nil {
@@ -284,8 +286,8 @@
 	return 0, errProtocol
 }
 
-// continueLogin handles an engine's packet after the login and reports whether
-// the engine has accepted it.
+// continueLogin handles a packet that an engine sends after the login packet and reports
+// whether the engine has accepted the login.
 func continueLogin(stream *stream, payload []byte, password string) (accepted bool, err error) {
 	if len(payload) == 0 {
 		return false, errProtocol
@@ -295,7 +297,7 @@
 		return true, nil
 	case errMark:
 		return false, parseError(payload)
-	case eofMark: // the engine asks for another method
+	case eofMark: // the engine requests another authentication method
 		r := payloadReader{rest: payload[1:]}
 		plugin := r.nullTerminated()
 		challenge := []byte(strings.TrimRight(string(r.rest), "\x00"))
--- a/internal/mysql/classify.go
+++ b/internal/mysql/classify.go
@@ -8,24 +8,24 @@
 	"strings"
 )
 
-// requestOptions is how a statement is treated.
+// requestOptions are the options of the request that runs a statement.
 type requestOptions struct {
 	class      int
-	orderKey   string // statements with one key run in order; empty: none
+	orderKey   string // statements with the same key run in order; empty: none
 	loadID     string // empty: none
-	isRetry    bool   // the client says that it tried before
+	isRetry    bool   // the client states that it has sent this load before
 	deadlineMS float64
-	workMS     float64 // estimate; 0: none
-	memoryMB   float64 // estimate; 0: none
+	workMS     float64 // estimated work; 0: no estimate
+	memoryMB   float64 // estimated memory; 0: no estimate
 }
 
-// maxHintValue bounds deadlines, costs and memory in hints.
+// maxHintValue is the exclusive upper bound of deadlines, costs and memory in hints.
 const maxHintValue = 1e9
 
-// classify returns how a statement is treated: by its hints, else by the first
-// rule that matches, else as a load if it may write. What may write keeps a class
-// that is not idempotent unless a rule says otherwise: a client's hint does not
-// prove that it may run twice.
+// classify returns the options of a statement: hints take precedence over the first rule
+// that matches, and a statement without either is a load if it may write and a read
+// otherwise. Only a rule can assign an idempotent class to a statement that may write: a
+// client's hint does not prove that the statement may run twice.
 func (s *Server) classify(
 	info *statementInfo, account string, statement *Statement,
 ) (requestOptions, *Error) {
@@ -48,7 +48,7 @@
 	return options, nil
 }
 
-// findRule returns the first rule that matches; nil if none does.
+// findRule returns the first rule that matches a statement, or nil.
 func (c *Config) findRule(info *statementInfo, account string) *Rule {
 	for i := range c.Rules {
 		if c.Rules[i].matches(info, account) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// applyHint applies one hint and reports whether it can be used.
+// applyHint applies a hint and reports whether the hint is valid.
 func (s *Server) applyHint(options *requestOptions, info *statementInfo, name, value string) bool {
 	switch name {
 	case "class":
--- a/internal/mysql/client.go
+++ b/internal/mysql/client.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// client is a client's connection, served by a goroutine of its own.
+// client is a client's connection, which is served by its own goroutine.
 type client struct {
 	server        *Server
 	stream        *stream
@@ -14,23 +14,23 @@
 	connectedAtMS float64
 	loggedIn      atomic.Bool
 
-	// Of the connection's goroutine.
+	// Used only by the connection's goroutine.
 	user            string
 	database        string
 	statements      map[uint32]*preparedStatement
 	lastStatementID uint32
-	ranStatement    bool // the current command went to the event loop
-	overflowed      bool // more came ahead than is buffered: the current answer is the last
-	discardBuffer   []byte
+	ranStatement    bool   // the current command was passed to the event loop
+	overflowed      bool   // the client sent more ahead than is buffered: the current response is the last
+	discardBuffer   []byte // receives input beyond the limit of the buffer
 
-	// Of the event loop.
-	busy         bool // an answer is owed
+	// Used only on the event loop.
+	busy         bool // a statement has not been answered yet
 	disconnected bool
-	requestID    string     // abandoned when the client disconnects; empty: none
-	load         *namedLoad // with an id, that the client waits for
+	requestID    string     // request to abandon if the client disconnects; empty: none
+	load         *namedLoad // load with an id that the client waits for
 }
 
-// serve serves the connection until it ends.
+// serve serves the connection until it is closed.
 func (c *client) serve(tooMany bool) {
 	defer func() {
 		c.stream.closeGracefully()
@@ -54,13 +54,13 @@
 	}
 }
 
-// sendFinalError sends a last error.
+// sendFinalError sends an error after which the connection is closed.
 func (c *client) sendFinalError(e *Error) {
 	c.writeError(e)
-	_ = c.stream.flush() // the connection ends either way
+	_ = c.stream.flush() // the connection is closed in any case
 }
 
-// logIn reports whether the client has logged in.
+// logIn authenticates the client and reports whether it has logged in.
 func (c *client) logIn() bool {
 	login, err := c.server.authenticate(c.stream, c.connectionID)
 	var rejection *Error
@@ -77,8 +77,8 @@
 	return true
 }
 
-// serveCommand reads a command and answers it, and reports whether the
-// connection goes on.
+// serveCommand reads a command and sends the response. It reports whether the connection
+// stays open.
 func (c *client) serveCommand() bool {
 	c.stream.sequence = 0
 	payload, err := c.stream.readPacket()
@@ -105,7 +105,7 @@
 
 func (c *client) writeOK() { c.stream.queuePacket(okPacket(0, 0)) }
 
-// updateCounters changes the counters on the event loop.
+// updateCounters calls change with the server's counters on the event loop.
 func (c *client) updateCounters(change func(*ServerCounters)) {
 	c.server.loop.Post(func() { change(&c.server.Counters) })
 }
--- a/internal/mysql/commands.go
+++ b/internal/mysql/commands.go
@@ -5,11 +5,11 @@
 	"fmt"
 )
 
-// handleBytes is the length of a statement's handle in a command.
+// handleBytes is the length of a prepared statement's handle in a command.
 const handleBytes = 4
 
-// handleCommand handles one command and queues its answer. It reports whether the
-// connection goes on.
+// handleCommand handles a command and queues its response. It reports whether the
+// connection stays open.
 func (c *client) handleCommand(command byte, argument []byte) bool {
 	switch command {
 	case comQuit:
@@ -28,9 +28,9 @@
 	case comStmtExecute:
 		c.updateCounters(func(counters *ServerCounters) { counters.Executes++ })
 		return c.execute(argument)
-	case comStmtLongData: // has no answer
+	case comStmtLongData: // has no response
 		c.appendLongData(argument)
-	case comStmtClose: // has no answer
+	case comStmtClose: // has no response
 		if len(argument) >= handleBytes {
 			delete(c.statements, binary.LittleEndian.Uint32(argument))
 		}
@@ -46,7 +46,8 @@
 	return true
 }
 
-// query handles a statement in text form.
+// query handles COM_QUERY, a statement as text, and reports whether the connection stays
+// open.
 func (c *client) query(sql string) bool {
 	info := c.inspectStatement(sql)
 	switch {
@@ -62,8 +63,8 @@
 	return c.runStatement(&Statement{SQL: sql, Database: c.database}, info)
 }
 
-// inspectStatement returns what a statement's text tells; nil, after an error was
-// queued, if it can't be served.
+// inspectStatement returns the properties of a statement. If the statement can't be
+// served, it queues an error and returns nil.
 func (c *client) inspectStatement(sql string) *statementInfo {
 	if len(sql) > maxStatementBytes {
 		c.writeUnsupported(&Error{codePacketTooLarge, "08S01",
@@ -83,8 +84,8 @@
 	c.writeError(e)
 }
 
-// runStatement hands a statement to the event loop, waits for its outcome and
-// queues it. It reports whether the connection goes on.
+// runStatement passes a statement to the event loop, waits for its outcome and queues
+// the response. It reports whether the connection stays open.
 func (c *client) runStatement(statement *Statement, info *statementInfo) bool {
 	outcomes := make(chan outcome, 1)
 	c.server.loop.Post(func() {
@@ -123,7 +124,8 @@
 	}
 }
 
-// writeRows queues a result's packets as they came from the engine.
+// writeRows queues the columns and rows of a result, which are sent unchanged as the
+// engine sent them.
 func (c *client) writeRows(result *Result) {
 	c.stream.queuePacket(appendLengthEncodedInt(nil, uint64(len(result.Columns))))
 	for _, column := range result.Columns {
--- a/internal/mysql/config.go
+++ b/internal/mysql/config.go
@@ -14,27 +14,28 @@
 	"dewhill/internal/simproto"
 )
 
-// Config is the front's configuration file. Its JSON keys do not change.
+// Config is the configuration file of the MySQL front end. Its JSON keys must stay
+// compatible with existing files.
 type Config struct {
 	Enabled   bool              `json:"on"`
 	Listen    string            `json:"listen"`
 	Accounts  []Account         `json:"accounts"`
 	Engines   []Engine          `json:"engines"`
 	Rules     []Rule            `json:"rules"`
-	ReadClass string            `json:"read_class"` // of statements that only read and match no rule
-	LoadClass string            `json:"load_class"` // of those that may write and match no rule
+	ReadClass string            `json:"read_class"` // class of statements that only read and match no rule
+	LoadClass string            `json:"load_class"` // class of statements that may write and match no rule
 	Limits    Limits            `json:"limits"`
 	Settings  simproto.Settings `json:"settings"`
 }
 
-// Account is a user who may log in.
+// Account is a user that may log in.
 type Account struct {
 	User     string `json:"user"`
 	Password string `json:"password"`
 	Database string `json:"database,omitempty"`
 }
 
-// Engine is an engine and how to log in there.
+// Engine is an engine's address with the user and password for logging in to it.
 type Engine struct {
 	ID       string  `json:"id"`
 	Address  string  `json:"address"`
@@ -42,17 +43,17 @@
 	Size     float64 `json:"share,omitempty"`
 	User     string  `json:"user"`
 	Password string  `json:"password"`
-	State    string  `json:"state,omitempty"` // active, which is the default, or leaving
+	State    string  `json:"state,omitempty"` // "active" (the default) or "leaving"
 }
 
-// Rule gives the statements that it matches a class and more. The first rule that
-// matches counts.
+// Rule sets the class and other options of the statements that it matches. Only the
+// first rule that matches a statement applies.
 type Rule struct {
-	Verbs      []string `json:"verbs,omitempty"`   // first words; empty: any
-	Match      string   `json:"match,omitempty"`   // a pattern over the statement without comments
-	Account    string   `json:"account,omitempty"` // empty: any
+	Verbs      []string `json:"verbs,omitempty"`   // first keywords, in any case; empty: any statement
+	Match      string   `json:"match,omitempty"`   // regular expression for the statement without comments
+	Account    string   `json:"account,omitempty"` // empty: any account
 	Class      string   `json:"class"`
-	Key        string   `json:"key,omitempty"` // "text:T", "table", or "param:N" from 0
+	Key        string   `json:"key,omitempty"` // order key: "text:T", "table", or "param:N" counted from 0
 	DeadlineMS float64  `json:"deadline_ms,omitempty"`
 	WorkMS     float64  `json:"cost_ms,omitempty"`
 	MemoryMB   float64  `json:"memory_mb,omitempty"`
@@ -62,30 +63,30 @@
 	param int
 }
 
-// Limits bound what the front uses. Zero stands for the default.
+// Limits bound the resources that the front end uses. Zero selects the default.
 type Limits struct {
-	Connections          int     `json:"connections,omitempty"` // of clients
+	Connections          int     `json:"connections,omitempty"` // connections of clients
 	ConnectionsPerEngine int     `json:"per_engine,omitempty"`  // connections to one engine
-	MaxOpenRequests      int     `json:"waiting,omitempty"`     // requests queued or in flight
-	KnownIDs             int     `json:"known_ids,omitempty"`   // of loads, remembered for repeats
-	IdleMS               float64 `json:"idle_ms,omitempty"`     // of an engine connection
-	ResultMB             int     `json:"result_mb,omitempty"`   // of one result
+	MaxOpenRequests      int     `json:"waiting,omitempty"`     // requests that are queued or in flight
+	KnownIDs             int     `json:"known_ids,omitempty"`   // ids of loads kept to recognize repeats
+	IdleMS               float64 `json:"idle_ms,omitempty"`     // idle time limit of engine connections
+	ResultMB             int     `json:"result_mb,omitempty"`   // maximum size of the rows of one result
 }
 
-// The keys of a rule other than param:N.
+// The forms of Rule.Key.
 const (
 	keyTable       = "table"
 	keyTextPrefix  = "text:"
 	keyParamFormat = "param:%d"
 )
 
-// The states of an engine in the file.
+// The values of Engine.State.
 const (
 	stateActive   = "active"
 	stateDraining = "leaving"
 )
 
-// The defaults of the limits.
+// The defaults of Limits.
 const (
 	defaultConnections          = 256
 	defaultConnectionsPerEngine = 32
@@ -95,15 +96,15 @@
 	defaultResultMB             = 16
 )
 
-// The errors of Check.
+// Errors that Check returns.
 var (
-	errNoAccounts  = errors.New("no accounts: nobody could log in")
+	errNoAccounts  = errors.New("no accounts: no client could log in")
 	errNoEngines   = errors.New("no engines")
-	errUnsafeClass = errors.New("its effect must be side_effect, or a statement could run twice")
+	errUnsafeClass = errors.New("effect must be side_effect, as a statement could run twice otherwise")
 )
 
-// ReadConfig reads and checks the file. The config is nil, without an error, if
-// there is no such file or it leaves the front off.
+// ReadConfig reads and checks the configuration file. It returns nil without an error
+// if the file does not exist or does not enable the front end.
 func ReadConfig(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -114,7 +115,7 @@
 	}
 	c := &Config{}
 	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.DisallowUnknownFields() // a misspelt key must not be taken for its default
+	decoder.DisallowUnknownFields() // a misspelt key must not silently select a default
 	if err := decoder.Decode(c); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -127,7 +128,8 @@
 	return c, nil
 }
 
-// Check returns an error if the config can't be used, and fills in the defaults.
+// Check returns an error if the configuration is invalid, and sets the defaults of
+// limits that are zero.
 func (c *Config) Check() error {
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -161,7 +163,7 @@
 	for i := range c.Engines {
 		e := &c.Engines[i]
 		if e.ID == "" || ids[e.ID] {
-			return fmt.Errorf("engine %q has no id of its own", e.ID)
+			return fmt.Errorf("engine id %q is empty or used twice", e.ID)
 		}
 		ids[e.ID] = true
 		if err := c.checkEngine(e); err != nil {
@@ -182,11 +184,11 @@
 	case "", stateActive, stateDraining:
 		return nil
 	default:
-		return fmt.Errorf("state %q", e.State)
+		return fmt.Errorf("unknown state %q", e.State)
 	}
 }
 
-// compileRule checks a rule and prepares it for matching.
+// compileRule checks a rule and sets the fields that are derived from its settings.
 func (c *Config) compileRule(r *Rule) error {
 	r.class = c.classIndex(r.Class)
 	if r.class < 0 {
@@ -201,7 +203,7 @@
 		return nil
 	}
 	if _, err := fmt.Sscanf(r.Key, keyParamFormat, &r.param); err != nil || r.param < 0 {
-		return fmt.Errorf("key %q", r.Key)
+		return fmt.Errorf("invalid key %q", r.Key)
 	}
 	return nil
 }
@@ -236,7 +238,7 @@
 	return strings.HasPrefix(key, keyTextPrefix) && len(key) > len(keyTextPrefix)
 }
 
-// classIndex returns the index of the class with a name; -1 if there is none.
+// classIndex returns the index of the class with the given name, or -1.
 func (c *Config) classIndex(name string) int {
 	return slices.IndexFunc(c.Settings.Classes, func(class simproto.Class) bool { return class.Name == name })
 }
--- a/internal/mysql/fakes_test.go
+++ b/internal/mysql/fakes_test.go
@@ -13,8 +13,8 @@
 	"dewhill/internal/fakes"
 )
 
-// FakeEngine is an engine for tests: it speaks the protocol, counts what it runs and
-// fails as the test says.
+// FakeEngine is an engine for tests. It speaks the MySQL protocol, counts the statements
+// that it runs, and fails at the steps that the test chooses.
 type FakeEngine struct {
 	ID       string
 	Addr     string
@@ -28,8 +28,10 @@
 	kills            int
 	initDatabases    []string
 	// behavior is called before each step (prepare, execute or query) with the
-	// statement. It may return "close" (close at once), "run-close" (run, then close),
-	// "hang" (until killed) or "error N".
+	// statement and returns the action to take instead of the step: "close" (close the
+	// connection), "run-close" (run the statement, then close the connection), "hang"
+	// (wait until the statement is killed), "error N" (reply with error number N), or
+	// "" for none.
 	behavior func(step, sql string) string
 }
 
@@ -41,7 +43,7 @@
 	lastStatementID uint32
 }
 
-// NewFakeEngine starts an engine on a free loopback port; it ends with the test.
+// NewFakeEngine starts an engine on a free loopback port and stops it when the test ends.
 func NewFakeEngine(t testing.TB, id, password string) *FakeEngine {
 	t.Helper()
 	e := &FakeEngine{ID: id, password: password, ran: map[string]int{}, connections: map[uint32]*fakeConnection{}}
@@ -49,7 +51,7 @@
 	return e
 }
 
-// Ran returns how often the engine ran statements with a prefix.
+// Ran returns the number of runs of statements that start with a prefix.
 func (e *FakeEngine) Ran(prefix string) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,21 +63,21 @@
 	return n
 }
 
-// RunCounts returns what the engine ran, and how often.
+// RunCounts returns the number of runs of each statement.
 func (e *FakeEngine) RunCounts() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return maps.Clone(e.ran)
 }
 
-// Counts returns how many handles were prepared and statements killed.
+// Counts returns the number of prepared handles and the number of KILL QUERY commands.
 func (e *FakeEngine) Counts() (prepares, kills int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.prepares, e.kills
 }
 
-// SetBehavior sets what the engine does at each step.
+// SetBehavior sets the function that chooses the engine's action at each step.
 func (e *FakeEngine) SetBehavior(behavior func(step, sql string) string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -233,8 +235,8 @@
 	e.mu.Unlock()
 }
 
-// run answers a statement. A SELECT returns the engine's id, a number, a NULL and each
-// bound value.
+// run runs a statement and queues the reply. A SELECT returns two rows with the engine's
+// id, the row's number, a NULL and each bound value.
 func (e *FakeEngine) run(connection *fakeConnection, step, sql string, params []Param) bool {
 	if action := e.actionFor(step, sql); action != "" {
 		return e.act(connection, action, sql)
--- a/internal/mysql/packet_test.go
+++ b/internal/mysql/packet_test.go
@@ -19,7 +19,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// TestPacketsInChunks checks that packets read the same in whatever pieces they arrive.
+// TestPacketsInChunks checks that packets are read correctly regardless of the chunks in
+// which they arrive.
 func TestPacketsInChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		payloads := rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 3000), 1, 5).Draw(t, "payloads")
@@ -36,7 +37,8 @@
 	})
 }
 
-// TestBoundValues checks that bound values, also NULL, come out as they went in.
+// TestBoundValues checks that bound values, including NULL, are unchanged after encoding
+// and parsing.
 func TestBoundValues(t *testing.T) {
 	kinds := map[byte]int{0x01: 1, 0x02: 2, 0x03: 4, 0x08: 8, 0x05: 8, typeVarString: -1, typeBlob: -1}
 	rapid.Check(t, func(t *rapid.T) {
@@ -53,8 +55,8 @@
 			}
 			params = append(params, p)
 		}
-		st := &preparedStatement{info: &statementInfo{params: n}}
-		got, invalid := st.bind(encodeExecute(1, params)[4:])
+		statement := &preparedStatement{info: &statementInfo{params: n}}
+		got, invalid := statement.bind(encodeExecute(1, params)[4:])
 		if invalid != nil {
 			t.Fatal(invalid)
 		}
@@ -66,8 +68,8 @@
 	})
 }
 
-// TestMalformedPackets checks that malformed input to each parser is an error, never a
-// panic.
+// TestMalformedPackets checks that no parser panics on malformed input, and that a
+// successful bind returns all parameters.
 func TestMalformedPackets(t *testing.T) {
 	login := binary.LittleEndian.AppendUint32(nil, supportedCapabilities)
 	login = append(append(login, make([]byte, 28)...), "app\x00\x14aaaaaaaaaaaaaaaaaaaatrips\x00mysql_native_password\x00"...)
@@ -80,20 +82,20 @@
 	execute := encodeExecute(1, []Param{{Type: 3, Value: []byte("abcd")}, {Type: typeVarString, Value: []byte("\x02hi")}})
 	rapid.Check(t, func(t *rapid.T) {
 		_, _ = parseLogin(testprocess.MalformedMessage(t, string(login)))
-		st := &preparedStatement{info: &statementInfo{params: 2}}
-		params, invalid := st.bind(testprocess.MalformedMessage(t, string(execute[4:])))
+		statement := &preparedStatement{info: &statementInfo{params: 2}}
+		params, invalid := statement.bind(testprocess.MalformedMessage(t, string(execute[4:])))
 		if invalid == nil && len(params) != 2 {
 			t.Fatalf("%+v", params)
 		}
 		s := &session{stream: newStream(testprocess.NewChunkedConn(t, testprocess.MalformedMessage(t, string(result.queued))))}
 		_, _ = s.readResult(1 << 20)
-		w := newStream(testprocess.NewChunkedConn(t, testprocess.MalformedMessage(t, "\x4a\x00\x00\x00"+string(greetingPacket(7, newChallenge())))))
-		_, _ = logIn(w, "a", "b", "c")
+		engineStream := newStream(testprocess.NewChunkedConn(t, testprocess.MalformedMessage(t, "\x4a\x00\x00\x00"+string(greetingPacket(7, newChallenge())))))
+		_, _ = logIn(engineStream, "a", "b", "c")
 		inspect(string(testprocess.MalformedMessage(t, "/* dewhill: class=load key=x */ INSERT INTO a_1.t VALUES (?, '?')")))
 	})
 }
 
-// TestInspect checks what is told from a statement's text.
+// TestInspect checks the properties that inspect finds in a statement's text.
 func TestInspect(t *testing.T) {
 	for sql, want := range map[string]statementInfo{
 		"SELECT '?' , ? FROM a_4.t -- ?":               {verb: "SELECT", params: 1, tableGroup: 4, table: "a_4.t"},
@@ -112,8 +114,8 @@
 	}
 }
 
-// fakeLoop is an event loop with a clock that the test sets. It records how attempts
-// end and drops what is posted.
+// fakeLoop is an event loop whose clock the test sets. It records the results of attempts
+// and ignores log lines and delayed functions.
 type fakeLoop struct {
 	EventLoop
 	now   float64
@@ -127,8 +129,8 @@
 func (l *fakeLoop) Logf(string, ...any)   {}
 func (l *fakeLoop) After(float64, func()) {}
 
-// TestEvictionAndRemovedEngines checks that connections that never log in make room for
-// clients, and that removed engines are forgotten.
+// TestEvictionAndRemovedEngines checks that the oldest connections without a login are
+// closed for new clients, and that the pool drops engines that are no longer listed.
 func TestEvictionAndRemovedEngines(t *testing.T) {
 	loop := &fakeLoop{now: 1000}
 	server := NewServer(loop, &Config{})
@@ -148,21 +150,21 @@
 	}
 	open := server.clients
 	if !open[clients[0]] || open[clients[1]] || open[clients[2]] || !open[clients[3]] {
-		t.Error("not the oldest one without a login was evicted")
+		t.Error("evicted connections are not the two oldest without a login")
 	}
 	if clients[1].stream.conn.SetDeadline(time.Time{}) == nil {
-		t.Error("the connection stays open")
+		t.Error("the connection of an evicted client is still open")
 	}
 	pool := &Pool{loop: loop, engines: map[string]*engine{}}
 	pool.SetEndpoints([]Engine{{ID: "a"}, {ID: "b"}}, nil)
 	pool.SetEndpoints([]Engine{{ID: "b"}}, nil)
 	if len(pool.engines) != 1 || pool.engines["b"] == nil {
-		t.Errorf("%d engines known", len(pool.engines))
+		t.Errorf("pool has %d engines, want only engine b", len(pool.engines))
 	}
 }
 
-// TestShutdownKeepsUnreadCommands checks that idle clients are closed at shutdown, but a
-// command that has arrived and is not read yet is served.
+// TestShutdownKeepsUnreadCommands checks that a shutdown closes the connections of idle
+// clients, but not a connection with a command that has arrived and has not been read yet.
 func TestShutdownKeepsUnreadCommands(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -194,16 +196,17 @@
 	}
 	server.BeginShutdown()
 	if p, err := clients[0].stream.readPacket(); err != nil || p[0] != comPing {
-		t.Errorf("the command that had arrived: %v, %v", p, err)
+		t.Errorf("command that arrived before the shutdown: got %v, %v", p, err)
 	}
 	var netError net.Error
 	if _, err := clients[1].stream.readPacket(); !errors.As(err, &netError) || !netError.Timeout() {
-		t.Errorf("the idle client: %v", err)
+		t.Errorf("idle client: error %v, want a timeout", err)
 	}
 }
 
-// TestConnectionShortage checks that a shortage of connections or descriptors of this
-// process is not held against the engine: nothing was sent.
+// TestConnectionShortage checks that attempts that fail because this process is out of
+// connections or descriptors count as not sent and are not held against the engine, while
+// another connection error is.
 func TestConnectionShortage(t *testing.T) {
 	loop := &fakeLoop{}
 	pool := &Pool{loop: loop, engines: map[string]*engine{}}
--- a/internal/mysql/payload.go
+++ b/internal/mysql/payload.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// Error is an error packet: a code, an SQLSTATE and a message.
+// Error is the content of an error packet: a code, an SQLSTATE and a message.
 type Error struct {
 	Code    uint16
 	State   string
@@ -21,14 +21,14 @@
 // Error returns the code, the state and the message.
 func (e *Error) Error() string { return fmt.Sprintf("error %d (%s): %s", e.Code, e.State, e.Message) }
 
-// packet returns the error's payload.
+// packet returns the payload of the error packet.
 func (e *Error) packet() []byte {
 	payload := []byte{errMark, byte(e.Code), byte(e.Code >> 8), '#'}
 	payload = append(payload, (e.State + defaultState)[:stateBytes]...)
 	return append(payload, e.Message...)
 }
 
-// parseError reads an error packet, whose first byte is its mark.
+// parseError parses an error packet, whose first byte is errMark.
 func parseError(payload []byte) *Error {
 	r := payloadReader{rest: payload[1:]}
 	e := &Error{Code: uint16(r.uint(2)), State: defaultState}
@@ -54,8 +54,8 @@
 
 func isError(payload []byte) bool { return len(payload) > 0 && payload[0] == errMark }
 
-// payloadReader reads the fields of a payload. After a short read malformed is
-// set and everything else reads as zero.
+// payloadReader reads the fields of a payload. Reading beyond the end of the payload
+// sets malformed, and further reads return zero values.
 type payloadReader struct {
 	rest      []byte
 	malformed bool
@@ -82,7 +82,7 @@
 	return value
 }
 
-// nullTerminated returns the text up to the next zero byte.
+// nullTerminated returns the text before the next zero byte.
 func (r *payloadReader) nullTerminated() string {
 	for i, b := range r.rest {
 		if b == 0 {
@@ -95,7 +95,7 @@
 	return ""
 }
 
-// lengthEncodedInt returns a length-encoded integer, or null.
+// lengthEncodedInt returns a length-encoded integer and whether it is NULL instead.
 func (r *payloadReader) lengthEncodedInt() (value uint64, null bool) {
 	switch first := r.uint(1); first {
 	case lengthNull:
@@ -114,7 +114,7 @@
 	}
 }
 
-// lengthEncodedBytes returns length-encoded bytes; nil for null.
+// lengthEncodedBytes returns a length-encoded string, or nil if it is NULL.
 func (r *payloadReader) lengthEncodedBytes() []byte {
 	length, null := r.lengthEncodedInt()
 	if null {
@@ -127,7 +127,8 @@
 	return r.take(int(length))
 }
 
-// binaryValue returns a binary value of a type as it is encoded.
+// binaryValue returns a binary value of a type in its encoded form, with its length
+// prefix if it has one.
 func (r *payloadReader) binaryValue(valueType byte) []byte {
 	start := r.rest
 	switch form, length := binaryForm(valueType); form {
@@ -146,18 +147,18 @@
 	return start[:len(start)-len(r.rest)]
 }
 
-// valueForm is how a binary value's length is encoded.
+// valueForm is the way in which the length of a binary value is determined.
 type valueForm int
 
 const (
 	unknownForm   valueForm = iota
-	fixedLength             // by its type
-	lengthByte              // in a byte before it
-	lengthEncoded           // in a length-encoded integer before it
+	fixedLength             // given by the type
+	lengthByte              // given by one byte before the value
+	lengthEncoded           // given by a length-encoded integer before the value
 )
 
-// binaryForm returns how a binary value of a type is encoded, with its length if
-// that is fixed.
+// binaryForm returns the form of binary values of a type, and their length if it is
+// fixed.
 func binaryForm(valueType byte) (form valueForm, length int) {
 	switch valueType {
 	case typeNull:
--- a/internal/mysql/prepared.go
+++ b/internal/mysql/prepared.go
@@ -8,7 +8,7 @@
 
 const (
 	maxStatementsPerClient = 1024
-	longDataHeaderBytes    = 6 // handle and parameter number
+	longDataHeaderBytes    = 6 // statement handle and parameter number
 )
 
 // Param is a value bound to a prepared statement, encoded as in the protocol.
@@ -19,13 +19,13 @@
 	Value []byte
 }
 
-// preparedStatement is a client's prepared statement. Its handle is this server's
-// own; engines' handles belong to their connections.
+// preparedStatement is a client's prepared statement. The server assigns its handle,
+// because an engine's handle is valid only on one connection to that engine.
 type preparedStatement struct {
 	sql             string
 	database        string
 	info            *statementInfo
-	parameterTypes  []byte // type and flag of each, from the last execute that had them
+	parameterTypes  []byte // type and flag of each parameter, from the last execute that sent types
 	longData        map[int][]byte
 	longDataTooLong bool
 }
@@ -35,8 +35,8 @@
 	s.longDataTooLong = false
 }
 
-// prepare handles COM_STMT_PREPARE. The answer names no result columns: each
-// execute names those of its result.
+// prepare handles COM_STMT_PREPARE. The response declares no result columns, because
+// the response to each execute defines the columns of its result.
 func (c *client) prepare(sql string) {
 	info := c.inspectStatement(sql)
 	if info == nil {
@@ -60,7 +60,7 @@
 	c.stream.queuePacket(eofPacket())
 }
 
-// parameterColumn is the definition of a parameter's column.
+// parameterColumn is the column definition that is sent for each parameter.
 var parameterColumn = newParameterColumn()
 
 func newParameterColumn() []byte {
@@ -70,15 +70,15 @@
 		flagBinary       = 0x80
 	)
 	var definition []byte
-	for _, text := range []string{"def", "", "", "", "?", ""} { // catalog to original name
+	for _, text := range []string{"def", "", "", "", "?", ""} { // catalog to original column name
 		definition = appendLengthEncodedBytes(definition, []byte(text))
 	}
 	definition = append(definition, fixedFieldsBytes, charsetBinary, 0, 0, 0, 0, 0)
 	return append(definition, typeVarString, flagBinary, 0, 0, 0, 0)
 }
 
-// lookupStatement returns the statement whose handle begins the argument; nil,
-// after an error was queued, if it is unknown.
+// lookupStatement returns the statement whose handle is at the start of the argument.
+// If the handle is unknown, it queues an error and returns nil.
 func (c *client) lookupStatement(argument []byte) *preparedStatement {
 	if len(argument) >= handleBytes {
 		statement := c.statements[binary.LittleEndian.Uint32(argument)]
@@ -90,8 +90,9 @@
 	return nil
 }
 
-// appendLongData handles COM_STMT_SEND_LONG_DATA, which has no answer: what is
-// wrong shows at the next execute.
+// appendLongData handles COM_STMT_SEND_LONG_DATA. The command has no response, so the
+// next execute reports data that is too long; data for an unknown statement or
+// parameter is ignored.
 func (c *client) appendLongData(argument []byte) {
 	if len(argument) < longDataHeaderBytes {
 		return
@@ -116,7 +117,7 @@
 	statement.longData[parameter] = append(statement.longData[parameter], data...)
 }
 
-// execute handles COM_STMT_EXECUTE and reports whether the connection goes on.
+// execute handles COM_STMT_EXECUTE and reports whether the connection stays open.
 func (c *client) execute(argument []byte) bool {
 	statement := c.lookupStatement(argument)
 	if statement == nil {
@@ -142,7 +143,7 @@
 
 func malformedExecute() *Error { return &Error{codeMalformedPacket, "HY000", "malformed execute"} }
 
-// bind reads the values of an execute.
+// bind parses the parameter values of COM_STMT_EXECUTE.
 func (s *preparedStatement) bind(argument []byte) ([]Param, *Error) {
 	r := payloadReader{rest: argument}
 	if r.uint(1) != cursorNone {
@@ -161,7 +162,7 @@
 		return nil, nil
 	}
 	nulls := r.take((count + 7) / 8)
-	if r.uint(1) == 1 { // new types are bound
+	if r.uint(1) == 1 { // the types of the parameters follow
 		s.parameterTypes = slices.Clone(r.take(2 * count))
 	}
 	if r.malformed || len(s.parameterTypes) != 2*count {
@@ -194,7 +195,7 @@
 	return p
 }
 
-// encodeExecute returns the argument of COM_STMT_EXECUTE.
+// encodeExecute returns the argument of COM_STMT_EXECUTE for an engine's handle.
 func encodeExecute(handle uint32, params []Param) []byte {
 	argument := binary.LittleEndian.AppendUint32(nil, handle)
 	argument = append(argument, cursorNone, 1, 0, 0, 0)
@@ -208,7 +209,7 @@
 		}
 	}
 	argument = append(argument, nulls...)
-	argument = append(argument, 1) // types follow
+	argument = append(argument, 1) // the types of the parameters follow
 	for _, p := range params {
 		argument = append(argument, p.Type, p.Flag)
 	}
--- a/internal/mysql/program_test.go
+++ b/internal/mysql/program_test.go
@@ -19,8 +19,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// TestRowsPassThroughUnchanged checks that rows arrive as the engine sent them: text and binary, NULL, long
-// data.
+// TestRowsPassThroughUnchanged checks that rows in the text and the binary protocol reach
+// the client as the engine sent them, including NULL and long data.
 func TestRowsPassThroughUnchanged(t *testing.T) {
 	d := deploy(t, 2, nil)
 	var id string
@@ -48,7 +48,7 @@
 		}
 	}
 	if k != 2 || rows.Err() != nil {
-		t.Errorf("%d rows: %v", k, rows.Err())
+		t.Errorf("%d rows, want 2: %v", k, rows.Err())
 	}
 	res, err := d.db.Exec("INSERT INTO trips_3.t VALUES (?)", 1)
 	if err != nil {
@@ -63,22 +63,23 @@
 	}
 }
 
-// TestConnectionBreaksAfterPrepare checks that a load whose connection breaks between
-// prepare and execute, and which so never ran, runs on another engine, once.
+// TestConnectionBreaksAfterPrepare checks that a load runs once, on another engine, if the
+// connection breaks between prepare and execute. The load provably has not run before.
 func TestConnectionBreaksAfterPrepare(t *testing.T) {
 	d := deploy(t, 2, nil)
 	d.set(once("prepare", "INSERT", "close"))
 	d.exec("INSERT INTO trips_1.t VALUES (?)", 5)
 	d.wantRan("INSERT", 1)
-	// Sessions that hold the handle may have been closed by their engine since.
+	// The engine may have closed sessions that hold the handle in the meantime.
 	for range 5 {
 		d.exec("UPDATE trips_1.t SET a = ?", 5)
 	}
 	d.wantRan("UPDATE", 5)
 }
 
-// TestConnectionBreaksAfterExecute checks that after execute was written a load may have
-// run and fails with an error that says so, while a read is retried.
+// TestConnectionBreaksAfterExecute checks that, if the connection breaks after execute was
+// written, a load fails with an error that states that it may have run, while a read is
+// retried.
 func TestConnectionBreaksAfterExecute(t *testing.T) {
 	d := deploy(t, 2, nil)
 	for _, act := range []string{"close", "run-close"} {
@@ -92,30 +93,30 @@
 	var id, null any
 	var n, v int
 	if err := d.db.QueryRow("SELECT a FROM trips_1.t WHERE b = ?", 7).Scan(&id, &n, &null, &v); err != nil || v != 7 {
-		t.Errorf("a read gave %d: %v", v, err)
+		t.Errorf("read returned %d, want 7: %v", v, err)
 	}
 	d.wantRan("SELECT", 2)
 }
 
-// TestHandleIsPreparedOnAnotherEngine checks that a client's handle is prepared on another engine
-// when its engine drains.
+// TestHandleIsPreparedOnAnotherEngine checks that a client's statement is prepared on
+// another engine when the engine that prepared it is draining.
 func TestHandleIsPreparedOnAnotherEngine(t *testing.T) {
 	d := deploy(t, 2, nil)
-	st, err := d.db.Prepare("INSERT INTO trips_1.t VALUES (?)")
+	statement, err := d.db.Prepare("INSERT INTO trips_1.t VALUES (?)")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = st.Close() }()
+	defer func() { _ = statement.Close() }()
 	runs := 0
 	exec := func() {
 		t.Helper()
-		if _, err := st.Exec(runs); err != nil {
+		if _, err := statement.Exec(runs); err != nil {
 			t.Fatal(err)
 		}
 		runs++
 		d.wantRan("INSERT", runs)
 	}
-	exec() // one engine has the handle now, the other none
+	exec() // one engine has the handle now, the other has none
 	first, other := d.engines[0], d.engines[1]
 	if first.Ran("INSERT") == 0 {
 		first, other = other, first
@@ -131,23 +132,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The file is still being written when the signal comes: it is read again.
+	// The signal arrives while the file is still being written, so the program must read
+	// the file again.
 	testprocess.WriteHalfThenRest(t, d.path, string(text), func() { d.prog.Signal(syscall.SIGHUP) })
-	testprocess.Until(t, "the list to be read", func() bool { return strings.Contains(d.prog.Log(), "engines read") })
+	testprocess.Until(t, "the engines to be read", func() bool { return strings.Contains(d.prog.Log(), "engines read") })
 	before := first.Ran("INSERT")
 	for range 3 {
 		exec()
 	}
 	if first.Ran("INSERT") != before {
-		t.Errorf("the engine that drains ran %d more", first.Ran("INSERT")-before)
+		t.Errorf("the draining engine ran %d more statements", first.Ran("INSERT")-before)
 	}
 	if p, _ := other.Counts(); p != 1 {
 		t.Errorf("%d handles were prepared on the other engine, want 1", p)
 	}
 }
 
-// TestUnknownHandleIsPreparedAgain checks that an engine that no longer knows a handle has run
-// nothing.
+// TestUnknownHandleIsPreparedAgain checks that an execute that the engine rejects because
+// it no longer knows the handle counts as not run, and that the load then runs once.
 func TestUnknownHandleIsPreparedAgain(t *testing.T) {
 	d := deploy(t, 2, nil)
 	d.set(once("execute", "INSERT", "error 1243"))
@@ -155,8 +157,9 @@
 	d.wantRan("INSERT", 1)
 }
 
-// TestDeadline checks that a missed deadline has its own error, and that the engine is
-// told to stop.
+// TestDeadline checks that a read that misses its deadline fails with the error for
+// deadlines, that a load fails with an error that states that it may have run, and that
+// both statements are killed on the engine.
 func TestDeadline(t *testing.T) {
 	d := deploy(t, 1, nil)
 	d.set(func(step, q string) string {
@@ -173,8 +176,8 @@
 	testprocess.Until(t, "both to be killed", func() bool { _, kills := d.engines[0].Counts(); return kills >= 2 })
 }
 
-// TestClientDisconnects checks that a disconnect cancels the client's statement at the
-// engine that runs it.
+// TestClientDisconnects checks that a client's disconnect cancels its statement on the
+// engine that runs the statement.
 func TestClientDisconnects(t *testing.T) {
 	d := deploy(t, 1, nil)
 	running := make(chan struct{}, 1)
@@ -191,32 +194,36 @@
 		_, err := d.db.ExecContext(ctx, "SELECT slow FROM trips_1.t")
 		done <- err
 	}()
-	// A statement that is still on its way to the engine is withdrawn without a kill.
+	// A statement that has not been sent to the engine yet is cancelled without a kill,
+	// so the test waits until it runs.
 	select {
 	case <-running:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the statement never reached the engine")
+		t.Fatal("the statement did not reach the engine within 10 s")
 	}
 	cancel()
 	if err := <-done; !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want %v", err, context.Canceled)
 	}
 	testprocess.Until(t, "the kill", func() bool { _, kills := d.engines[0].Counts(); return kills == 1 })
 }
 
-// TestRejectedWithoutReachableEngine checks that with no engine in reach, where every attempt provably never
-// ran, the answer is a rejection with a time to wait, never "may have run".
+// TestRejectedWithoutReachableEngine checks that, if no engine is reachable, the client
+// gets a rejection that states when to retry. No attempt can have run, so the response
+// must not be that the load may have run.
 func TestRejectedWithoutReachableEngine(t *testing.T) {
-	dead := testprocess.FreeAddr(t)
-	d := deploy(t, 1, func(c *mysql.Config) { c.Engines[0].Address = dead })
+	unreachable := testprocess.FreeAddr(t)
+	d := deploy(t, 1, func(c *mysql.Config) { c.Engines[0].Address = unreachable })
 	_, err := d.db.Exec("/* dewhill: deadline=400 */ INSERT INTO trips_1.t VALUES (?)", 1)
 	d.wantCode(err, 1226, "53300")
 	if err == nil || !strings.Contains(err.Error(), "nothing ran: try again in ") {
-		t.Errorf("error %v names no wait", err)
+		t.Errorf("error %v does not state when to retry", err)
 	}
 }
 
-// TestRepeatedLoadGetsFirstOutcome checks that a repeated load gets the outcome of its run, whatever it was.
+// TestRepeatedLoadGetsFirstOutcome checks that repeats of a load with an id get the outcome
+// of its first run, both after a success and after a failure that may have run, and that
+// another statement can't use the same id.
 func TestRepeatedLoadGetsFirstOutcome(t *testing.T) {
 	d := deploy(t, 2, func(c *mysql.Config) { c.Limits.KnownIDs = 3 })
 	exec := func(id, table string) error {
@@ -235,7 +242,8 @@
 	}
 	d.wantRan("/* dewhill: id=up-2", 1)
 	d.wantCode(exec("up-1", "other"), 1231, "42000")
-	// The number of ids is bounded: the oldest is forgotten, and would run again.
+	// The number of remembered ids is limited: the oldest id is forgotten, so its load
+	// runs again.
 	for i := range 3 {
 		if err := exec(fmt.Sprintf("more-%d", i), "a"); err != nil {
 			t.Error(err)
@@ -247,8 +255,8 @@
 	d.wantRan("/* dewhill: id=up-1", 2)
 }
 
-// TestConcurrentRepeatsRunOnce checks that one load repeated on many connections at the same
-// time runs once.
+// TestConcurrentRepeatsRunOnce checks that a load runs once if clients send it with the
+// same id on several connections at the same time.
 func TestConcurrentRepeatsRunOnce(t *testing.T) {
 	d := deploy(t, 2, nil)
 	var wg sync.WaitGroup
@@ -259,8 +267,9 @@
 	d.wantRan("/* dewhill: id=same", 1)
 }
 
-// TestUnsupportedStatements checks that what a shared connection can't offer is an error, never
-// ignored, and that a hint can't make a write idempotent.
+// TestUnsupportedStatements checks that statements that engine connections shared between
+// clients can't support fail instead of being ignored, and that a hint can't assign an
+// idempotent class to a write.
 func TestUnsupportedStatements(t *testing.T) {
 	d := deploy(t, 1, nil)
 	for _, q := range []string{"BEGIN", "START TRANSACTION", "COMMIT", "SET @a = 1", "SELECT @a", "SELECT LAST_INSERT_ID()",
@@ -279,15 +288,15 @@
 	_, err = d.db.Exec("SELECT a FROM gone")
 	d.wantCode(err, 1146, "HY000")
 	if d.ran("BEGIN")+d.ran("DELETE")+d.ran("SET") != 0 {
-		t.Error("an engine ran what is not served")
+		t.Error("an engine ran an unsupported statement")
 	}
 	db, _ := sql.Open("mysql", "app:wrong@tcp("+d.cfg.Listen+")/trips")
 	defer func() { _ = db.Close() }()
 	d.wantCode(db.Ping(), 1045, "28000")
 }
 
-// TestLoadsInOrder checks that loads with one key run one at a time, in their order of
-// arrival.
+// TestLoadsInOrder checks that loads with the same order key run one at a time, in their
+// order of arrival.
 func TestLoadsInOrder(t *testing.T) {
 	d := deploy(t, 2, func(c *mysql.Config) {
 		c.Rules = []mysql.Rule{{Verbs: []string{"insert"}, Class: "load", Key: "table", WorkMS: 5}}
@@ -320,25 +329,26 @@
 	}
 	wg.Wait()
 	if maxRunning != 1 || strings.Join(order, "|") != strings.Join(want, "|") {
-		t.Errorf("%d at once, in the order %q", maxRunning, order)
+		t.Errorf("%d loads ran at the same time, want 1; order %q, want %q", maxRunning, order, want)
 	}
 }
 
-// TestMalformedInput checks that malformed input ends its connection and nothing else.
+// TestMalformedInput checks that malformed input closes its connection and does not affect
+// other clients.
 func TestMalformedInput(t *testing.T) {
 	d := deploy(t, 1, nil)
-	for _, g := range []string{"GET / HTTP/1.1\r\n\r\n", "\xff\xff\xff\x01", "\x04\x00\x00\x01abcd", "\x00\x00\x00\x01"} {
+	for _, input := range []string{"GET / HTTP/1.1\r\n\r\n", "\xff\xff\xff\x01", "\x04\x00\x00\x01abcd", "\x00\x00\x00\x01"} {
 		c, err := net.Dial("tcp", d.cfg.Listen)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := c.Write([]byte(g)); err != nil {
+		if _, err := c.Write([]byte(input)); err != nil {
 			t.Fatal(err)
 		}
 		_ = c.SetReadDeadline(time.Now().Add(testprocess.WaitTimeout))
 		var buf bytes.Buffer
 		if _, err := buf.ReadFrom(c); err != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%q: the connection stays open", g)
+			t.Errorf("%q: the connection is still open", input)
 		}
 		_ = c.Close()
 	}
@@ -347,7 +357,8 @@
 	}
 }
 
-// TestInvalidConfigFile checks that an invalid file ends the program with one clear line.
+// TestInvalidConfigFile checks that the program exits with an error and a single log line
+// that names the cause if the configuration file is invalid.
 func TestInvalidConfigFile(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"on":true,"listn":"x"}`: "listn",
@@ -358,12 +369,13 @@
 		path := testprocess.WriteTempFile(t, "mysql.json", text)
 		p := testprocess.Start(t, []string{"PROXY_CONFIG="}, "-mysql", path)
 		if c := p.Wait(); c == 0 || strings.Count(p.Log(), "\n") != 1 || !strings.Contains(p.Log(), want) {
-			t.Errorf("%s: exit %d, log %q", text, c, p.Log())
+			t.Errorf("%s: exit code %d, log %q, want one line with %q", text, c, p.Log(), want)
 		}
 	}
 }
 
-// TestImportedConfigFile checks that the program serves with the file that the importer writes.
+// TestImportedConfigFile checks that the program serves clients with a configuration file
+// that the importer wrote from an HAProxy configuration.
 func TestImportedConfigFile(t *testing.T) {
 	e := mysql.NewFakeEngine(t, "db1", "")
 	listen := testprocess.FreeAddr(t)
@@ -376,6 +388,6 @@
 	testprocess.Start(t, []string{"PROXY_CONFIG="}, "-mysql", testprocess.WriteTempFile(t, "mysql.json", file.String()))
 	db := open(t, "gate:@tcp("+listen+")/")
 	if _, err := db.Exec("INSERT INTO a_1.t VALUES (?)", 1); err != nil || e.Ran("INSERT") != 1 {
-		t.Errorf("ran %d times: %v", e.Ran("INSERT"), err)
+		t.Errorf("statement ran %d times, want 1: %v", e.Ran("INSERT"), err)
 	}
 }
--- a/internal/mysql/protocol.go
+++ b/internal/mysql/protocol.go
@@ -1,7 +1,8 @@
 package mysql
 
-// MaxPacketBytes is the longest message taken from a client or an engine. The
-// protocol splits messages only from 16 MB on, so none is split.
+// MaxPacketBytes is the maximum length of a message from a client, and the maximum that
+// the login to an engine states. The protocol splits only messages of 16 MB and more into
+// several packets, so a message up to this length is never split.
 const MaxPacketBytes = 4 << 20
 
 const (
@@ -11,7 +12,7 @@
 	maxColumns        = 4096
 )
 
-// The commands.
+// Commands of a client.
 const (
 	comQuit         = 0x01
 	comInitDB       = 0x02
@@ -24,7 +25,7 @@
 	comStmtReset    = 0x1a
 )
 
-// The capabilities in the handshake.
+// Capability flags in the handshake.
 const (
 	capLongPassword     = 1 << 0
 	capConnectWithDB    = 1 << 3
@@ -43,33 +44,34 @@
 		capSecureConnection | capPluginAuth | capLenencAuth
 )
 
-// The numbers of the handshake.
+// Constants of the handshake.
 const (
 	protocolVersion     = 10
 	charsetUTF8         = 45
 	statusAutocommit    = 2
 	challengeBytes      = 20
-	challengeFirstBytes = 8 // of it, in the greeting's first part
+	challengeFirstBytes = 8 // bytes of the challenge in the first part of the greeting
 
 	nativePassword  = "mysql_native_password"
 	cachingPassword = "caching_sha2_password"
 
-	authMoreData    = 1 // first byte of a packet of caching_sha2_password
-	authFastSuccess = 3 // its second byte: OK follows
+	authMoreData    = 1 // first byte of a packet that continues caching_sha2_password
+	authFastSuccess = 3 // second byte of that packet: the password was accepted and an OK packet follows
 )
 
-// The first byte of a reply.
+// The first byte of a reply, which marks its kind.
 const (
 	okMark        = 0x00
 	localFileMark = 0xfb
 	eofMark       = 0xfe
 	errMark       = 0xff
 
-	// maxEOFBytes is the longest EOF packet: a longer one with its mark is a row.
+	// maxEOFBytes is the maximum length of an EOF packet. A longer packet that begins
+	// with eofMark is a row.
 	maxEOFBytes = 8
 )
 
-// The first byte of a length-encoded integer, if it is not the value itself.
+// The first byte of a length-encoded integer that is not the value itself.
 const (
 	lengthNull   = 0xfb
 	length2Bytes = 0xfc
@@ -80,7 +82,7 @@
 
 const cursorNone = 0
 
-// The types of binary values.
+// Types of binary values.
 const (
 	typeDecimal    = 0x00
 	typeTiny       = 0x01
@@ -111,7 +113,7 @@
 	typeGeometry   = 0xff
 )
 
-// The error codes that this program sends or acts on.
+// Error codes that this program sends or handles.
 const (
 	codeTooManyConnections = 1040
 	codeBadHandshake       = 1043
@@ -120,14 +122,14 @@
 	codeServerShutdown     = 1053
 	codeSyntax             = 1064
 	codeEmptyQuery         = 1065
-	codeFailed             = 1105 // no engine could answer; repeating does no harm
+	codeFailed             = 1105 // no engine could answer; the statement may safely be repeated
 	codePacketTooLarge     = 1153
-	codeMayHaveRun         = 1180 // a load failed and may have run
+	codeMayHaveRun         = 1180 // the load failed and may have run
 	codeUserLimit          = 1203
 	codeWrongArguments     = 1210
-	codeRejected           = 1226 // nothing ran; the message has the time to wait
+	codeRejected           = 1226 // nothing ran; the message states when to retry
 	codeInvalidHint        = 1231
-	codeUnknownLoadID      = 1233 // a retry whose id nobody remembers: it may have run
+	codeUnknownLoadID      = 1233 // a retry of a load whose id is no longer remembered: the load may have run
 	codeNotSupported       = 1235
 	codeUnknownHandle      = 1243
 	codeQueryInterrupted   = 1317
--- a/internal/mysql/server.go
+++ b/internal/mysql/server.go
@@ -10,54 +10,55 @@
 	"dewhill/internal/lineproto"
 )
 
-// EventLoop is the event loop of server and pool. Post, PostUrgent and Now may be
-// called from any goroutine, the rest only on the event loop.
+// EventLoop is the event loop of the server and the pool. Post, PostUrgent and Now may
+// be called from any goroutine, the other methods only on the event loop.
 type EventLoop interface {
 	// Post runs f on the event loop.
 	Post(f func())
-	// PostUrgent runs f on the event loop ahead of what is posted.
+	// PostUrgent runs f on the event loop before functions queued by Post.
 	PostUrgent(f func())
 	// Now returns the loop's clock in Unix milliseconds.
 	Now() float64
 	// After runs f on the event loop after a delay.
 	After(delayMS float64, f func())
-	// Submit takes a request whose work is a *Statement. Unless it returns an
+	// Submit submits a request whose work is a *Statement. Unless Submit returns an
 	// error, respond is called once, with a *Result if the request was served.
 	Submit(r dispatch.Request, work any, respond func(dispatch.Response, any)) error
 	// AbandonRequest cancels a request whose client has disconnected.
 	AbandonRequest(id string)
-	// DetachRequest notes that nobody waits for a request whose outcome still
-	// matters: attempts in flight go on, no further one begins.
+	// DetachRequest records that no client waits for a request any more, although its
+	// outcome still matters: running attempts continue and no further attempt begins.
 	DetachRequest(id string)
-	// AttemptEnded takes how an attempt ended, once for each.
+	// AttemptEnded reports the end of an attempt, with a *Result if it was served. It is
+	// called once for each attempt.
 	AttemptEnded(ev dispatch.AttemptEnded, result any)
-	// ProbeEnded takes how a probe ended.
+	// ProbeEnded reports the end of a probe.
 	ProbeEnded(ev dispatch.ProbeEnded)
 	// Logf writes a line to the log.
 	Logf(format string, args ...any)
-	// OpenRequests returns how many requests are owed an answer.
+	// OpenRequests returns the number of requests that have not been answered yet.
 	OpenRequests() int
 }
 
 const (
 	loginTimeout      = 3 * time.Second
-	evictableAfterMS  = 250.0 // without a login
+	evictableAfterMS  = 250.0 // a connection without a login may be evicted after this time
 	clientIdleTimeout = 8 * time.Hour
 	writeTimeout      = 5 * time.Second
 )
 
-// Server is the MySQL server. Its methods are called on the event loop, except
-// for Serve and ServeConn; each client's connection has goroutines of its own.
+// Server is the MySQL server. Its methods must be called on the event loop, except for
+// Serve and ServeConn. Each client's connection has its own goroutines.
 type Server struct {
 	Counters ServerCounters
-	Leases   Leases // nil: ids of loads are known to this process only
+	Leases   Leases // nil: repeats of a load are recognized only by this process
 
 	loop             EventLoop
 	config           *Config
 	accounts         []Account
 	clients          map[*client]bool
-	loads            map[string]*namedLoad // by account and id
-	loadOrder        []string              // their names, oldest first
+	loads            map[string]*namedLoad // key: account and load id
+	loadOrder        []string              // keys of loads, oldest first
 	lastConnectionID uint32
 	lastRequestID    uint64
 	shuttingDown     atomic.Bool
@@ -82,7 +83,7 @@
 	acceptloop.Run(listener, s.ServeConn, failed)
 }
 
-// ServeConn serves a connection.
+// ServeConn starts serving a client's connection.
 func (s *Server) ServeConn(conn net.Conn) {
 	s.loop.Post(func() { s.register(conn) })
 }
@@ -105,9 +106,9 @@
 	go c.serve(tooMany)
 }
 
-// evict closes the oldest connection that has not logged in, and reports whether
-// there was one: those that connect by the hundred and send nothing must not keep
-// clients out.
+// evict closes the oldest connection that has not logged in within evictableAfterMS, and
+// reports whether there was such a connection. Hundreds of connections that send nothing
+// must not use up the limit and keep other clients out.
 func (s *Server) evict() bool {
 	var oldest *client
 	for c := range s.clients {
@@ -125,8 +126,9 @@
 	return true
 }
 
-// BeginShutdown ends the connections of idle clients, and others after their
-// answer. A client whose command has arrived but is not read yet is not idle.
+// BeginShutdown closes the connections of idle clients; other connections are closed
+// after their response. A client whose command has arrived but has not been read yet is
+// not idle.
 func (s *Server) BeginShutdown() {
 	s.shuttingDown.Store(true)
 	for c := range s.clients {
@@ -136,7 +138,7 @@
 	}
 }
 
-// Idle reports whether no client waits for an answer.
+// Idle reports whether no client waits for the response to a statement.
 func (s *Server) Idle() bool {
 	for c := range s.clients {
 		if c.busy {
--- a/internal/mysql/statement.go
+++ b/internal/mysql/statement.go
@@ -8,46 +8,48 @@
 	"dewhill/internal/sqlscan"
 )
 
-// hintPrefix begins a comment with hints for this server.
+// hintPrefix is the first word of a comment that holds hints for this server.
 const hintPrefix = "dewhill:"
 
-// statementInfo is what can be told from a statement's text.
+// statementInfo holds the properties of a statement that its text reveals.
 type statementInfo struct {
 	verb            string // first keyword, in upper case
-	writes          bool   // it may write
-	params          int    // placeholders
-	table           string // first one named
+	writes          bool   // may write data
+	params          int    // number of placeholders
+	table           string // first table named in the statement
 	tableGroup      int
 	withoutComments string
 	hints           map[string]string
-	err             *Error // why it can't be served
-	isNoOp          bool   // answered with OK: it says what holds anyway
+	err             *Error // response if the statement can't be served
+	isNoOp          bool   // requests a setting that always holds; answered with OK and not sent to an engine
 }
 
 var (
 	readVerbs = []string{"SELECT", "SHOW", "EXPLAIN", "DESCRIBE", "DESC", "WITH", "VALUES", "TABLE"}
 
-	// Statements that need a session of one's own, or another kind of answer.
+	// Statements that need an engine session reserved for the client, or whose result is
+	// of an unsupported kind.
 	sessionVerbs = []string{
 		"BEGIN", "START", "COMMIT", "ROLLBACK", "SAVEPOINT", "RELEASE", "LOCK", "UNLOCK", "XA", "SET",
 		"PREPARE", "EXECUTE", "DEALLOCATE", "HANDLER", "USE", "KILL", "RESET", "CHANGE", "SHUTDOWN",
 		"GRANT", "DECLARE",
 	}
 
-	// Functions whose value belongs to a session.
+	// Functions whose value depends on the engine session.
 	sessionFunctions = []string{
 		"LAST_INSERT_ID", "FOUND_ROWS", "ROW_COUNT", "GET_LOCK", "RELEASE_LOCK", "RELEASE_ALL_LOCKS",
 		"CONNECTION_ID",
 	}
 
-	// Keywords that write wherever they stand: also inside WITH, EXPLAIN ANALYZE
+	// Keywords that make a statement a write at any position, as in WITH, EXPLAIN ANALYZE
 	// or a locking read.
 	writeKeywords = []string{"INSERT", "UPDATE", "DELETE", "REPLACE", "INTO", "FOR", "LOCK"}
 
-	// Keywords before a table's name.
+	// Keywords that precede a table's name.
 	tableKeywords = []string{"FROM", "JOIN", "INTO", "UPDATE", "TABLE"}
 
-	// Statements that ask for what holds anyway, with spaces folded.
+	// Statements that request a setting that always holds, in upper case and with spaces
+	// normalized.
 	noOpStatements = []string{"SET AUTOCOMMIT=1", "SET AUTOCOMMIT=ON", "SET NAMES UTF8MB4", "SET NAMES UTF8",
 		"SET NAMES 'UTF8MB4'", "SET NAMES 'UTF8'"}
 )
@@ -56,7 +58,7 @@
 	return &Error{codeNotSupported, "42000", "not supported here: " + fmt.Sprintf(format, args...)}
 }
 
-// inspect reads a statement.
+// inspect determines the properties of a statement from its text.
 func inspect(sql string) *statementInfo {
 	s := &statementInfo{tableGroup: sqlscan.TableGroup(sql)}
 	tokens := s.stripComments(sql)
@@ -74,8 +76,8 @@
 	return s
 }
 
-// stripComments takes hints from the comments, and returns the tokens between
-// them.
+// stripComments reads the hints in comments, sets withoutComments and returns the tokens
+// that are not comments.
 func (s *statementInfo) stripComments(sql string) []sqlscan.Token {
 	var text strings.Builder
 	var rest []sqlscan.Token
@@ -97,8 +99,8 @@
 	return rest
 }
 
-// readHints takes a comment's hints. A comment that engines execute is part of
-// the statement, and may write.
+// readHints reads the hints in a comment. An executable comment (/*! or /*M!) is part of
+// the statement for the engine and may write.
 func (s *statementInfo) readHints(comment string) {
 	if strings.HasPrefix(comment, "!") || strings.HasPrefix(comment, "M!") {
 		s.writes = true
@@ -130,7 +132,7 @@
 			if s.table == "" && i > 0 && !tokens[i-1].Quoted {
 				s.scanTable(tokens, i)
 			}
-		default: // strings and numbers tell nothing
+		default: // strings and numbers have no effect
 		}
 	}
 }
@@ -161,7 +163,7 @@
 	}
 }
 
-// scanTable takes the table's name at i, if the token before says that it is one.
+// scanTable sets the table to the name at i if a table keyword precedes it.
 func (s *statementInfo) scanTable(tokens []sqlscan.Token, i int) {
 	if !slices.Contains(tableKeywords, strings.ToUpper(tokens[i-1].Text)) {
 		return
@@ -172,7 +174,8 @@
 	}
 }
 
-// checkSession sorts out what needs a session of the client's own at an engine.
+// checkSession rejects statements that need an engine session reserved for the client,
+// except for those that request a setting that always holds.
 func (s *statementInfo) checkSession() {
 	if !slices.Contains(sessionVerbs, s.verb) {
 		return
