--- a/internal/replication/learn.go
+++ b/internal/replication/entries.go
@@ -1,11 +1,12 @@
 package replication
 
-// forwardTo is how many members a learned write is forwarded to.
-const forwardTo = 2
+// forwardFanout is the number of members to which a newly received write is forwarded.
+const forwardFanout = 2
 
-// learn merges the writes of a message, persists the registers that have changed,
-// acknowledges, and forwards what is new: the sender may not reach all.
-func (r *Replica) learn(from Peer, msg *message) {
+// receiveEntries merges the writes of a message, persists the registers that have changed,
+// and acknowledges the message once they are persisted. It forwards the changed registers,
+// because the sender may be unable to reach all members.
+func (r *Replica) receiveEntries(from Peer, msg *message) {
 	var changed []*register
 	for _, e := range msg.entries {
 		r.lastTimestamp = max(r.lastTimestamp, e.write.Timestamp)
@@ -25,7 +26,7 @@
 	}
 	r.catchUp.equalPeers = map[Peer]bool{}
 	for i, reg := range changed {
-		r.Counters.Learned++
+		r.Counters.RegistersUpdated++
 		r.reportChange(reg.key)
 		then := func() {}
 		if i == len(changed)-1 {
@@ -36,10 +37,10 @@
 	r.forward(from, changed)
 }
 
-// forward sends registers to random live members other than the sender. A replica
-// that catches up forwards nothing: it learns what the others know.
+// forward sends registers to random live members other than the sender. A replica that is
+// catching up forwards nothing: it receives writes that the other members already have.
 func (r *Replica) forward(from Peer, changed []*register) {
-	for range forwardTo {
+	for range forwardFanout {
 		if !r.catchUp.ready || len(r.alive) == 0 || !r.budget.Allows(r.options.MaxMessageBytes) {
 			return
 		}
--- a/internal/server/compat_config_test.go
+++ b/internal/server/compat_config_test.go
@@ -14,8 +14,8 @@
 	"dewhill/internal/simproto"
 )
 
-// The platform writes the file that $PROXY_CONFIG names. The golden one has every key
-// that is read, none of them at zero.
+// The platform writes the file that $PROXY_CONFIG names. The golden file sets every key
+// that is read, each to a value other than zero.
 func TestCompatConfig(t *testing.T) {
 	for _, name := range []string{"PROXY_NAME", "PROXY_LISTEN", "PROXY_CONTROL"} {
 		t.Setenv(name, "")
@@ -47,11 +47,11 @@
 		t.Fatal(err)
 	}
 	if again = append(again, '\n'); !bytes.Equal(again, golden(t, "config.json")) {
-		t.Errorf("written again:\n%s", again)
+		t.Errorf("marshaled again, the configuration differs from the golden file:\n%s", again)
 	}
 }
 
-// checkInitialUpdates checks the golden configuration's updates of the endpoint list.
+// checkInitialUpdates checks the endpoint list updates of the golden configuration.
 func checkInitialUpdates(t *testing.T, updates *discovery.Updates) {
 	t.Helper()
 	endpoints := []discovery.Endpoint{
@@ -139,24 +139,25 @@
 	expectEqual(t, "zone", s.Zone, 1)
 }
 
-// checkControl checks what the words of the golden configuration stand for.
+// checkControl checks the control settings that the enum values of the golden
+// configuration are converted to.
 func checkControl(t *testing.T, s *simproto.Settings) {
 	t.Helper()
-	taken, err := s.Control()
+	converted, err := s.Control()
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectEqual(t, "pure", taken.Classes[0].Idempotency, control.Idempotent)
-	expectEqual(t, "token", taken.Classes[1].Idempotency, control.IdempotentWithKey)
-	expectEqual(t, "side_effect", taken.Classes[2].Idempotency, control.NotIdempotent)
-	expectEqual(t, "all", taken.Classes[0].IdempotencyScope, control.AllEngines)
-	expectEqual(t, "zone", taken.Classes[1].IdempotencyScope, control.SameZone)
-	expectEqual(t, "cell", taken.Classes[2].IdempotencyScope, control.SameCell)
-	expectEqual(t, "ask", taken.PollsEndpointList, true)
-	expectEqual(t, "answers", taken.LoadReportsInReplies && taken.LoadReportsInProbes, true)
+	expectEqual(t, "pure", converted.Classes[0].Idempotency, control.Idempotent)
+	expectEqual(t, "token", converted.Classes[1].Idempotency, control.IdempotentWithKey)
+	expectEqual(t, "side_effect", converted.Classes[2].Idempotency, control.NotIdempotent)
+	expectEqual(t, "all", converted.Classes[0].IdempotencyScope, control.AllEngines)
+	expectEqual(t, "zone", converted.Classes[1].IdempotencyScope, control.SameZone)
+	expectEqual(t, "cell", converted.Classes[2].IdempotencyScope, control.SameCell)
+	expectEqual(t, "ask", converted.PollsEndpointList, true)
+	expectEqual(t, "answers", converted.LoadReportsInReplies && converted.LoadReportsInProbes, true)
 }
 
-// checkNoneZero reports fields of the golden configuration that were not read.
+// checkNoneZero reports zero fields of the golden configuration: they were not read.
 func checkNoneZero(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -188,8 +189,8 @@
 	}
 }
 
-// The platform starts each front end of a group with the same file and names of
-// its own in the environment.
+// The platform starts all front ends of a group with the same file. The name and the
+// addresses of each are in its environment.
 func TestCompatEnvironment(t *testing.T) {
 	t.Setenv("PROXY_NAME", "gw-8")
 	t.Setenv("PROXY_LISTEN", "127.0.0.1:8081")
