--- a/internal/mysql/auth.go
+++ b/internal/mysql/auth.go
@@ -156,7 +156,7 @@
 	}
 	account := s.findAccount(l.user, challenge, l.auth)
 	if account == nil {
-		return nil, &Error{codeAccessDenied, "28000", fmt.Sprintf("Access loginError for user %.32q", l.user)}
+		return nil, &Error{codeAccessDenied, "28000", fmt.Sprintf("Access denied for user %.32q", l.user)}
 	}
 	if l.database == "" {
 		l.database = account.Database
--- a/internal/mysql/program_test.go
+++ b/internal/mysql/program_test.go
@@ -292,7 +292,11 @@
 	}
 	db, _ := sql.Open("mysql", "app:wrong@tcp("+d.cfg.Listen+")/trips")
 	defer func() { _ = db.Close() }()
-	d.wantCode(db.Ping(), 1045, "28000")
+	err = db.Ping()
+	d.wantCode(err, 1045, "28000")
+	if err == nil || !strings.Contains(err.Error(), `Access denied for user "app"`) {
+		t.Errorf("error %v, want the access of user app to be denied", err)
+	}
 }
 
 // TestLoadsInOrder checks that loads with the same order key run one at a time, in their
