--- a/internal/mysql/accept_test.go
+++ b/internal/mysql/accept_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// shortListener is a listener of a process that is out of descriptors for so many
-// accepts, and is closed then.
-type shortListener struct {
+// failingListener fails the given number of Accept calls as if the process were out of
+// file descriptors, and then behaves like a closed listener.
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
-func (l *shortListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures == 0 {
 		return nil, net.ErrClosed
 	}
@@ -21,17 +21,17 @@
 	return nil, syscall.EMFILE
 }
 
-// postingLoop runs what is posted at once.
+// postingLoop is a fakeLoop that runs posted functions immediately.
 type postingLoop struct{ fakeLoop }
 
 func (loop *postingLoop) Post(f func()) { f() }
 
-// TestFailedAcceptsAreCounted checks that the server counts failed accepts, but not the
-// listener's close.
+// TestFailedAcceptsAreCounted checks that the server counts failed Accept calls, except
+// the one that fails because the listener was closed.
 func TestFailedAcceptsAreCounted(t *testing.T) {
 	server := NewServer(&postingLoop{}, &Config{})
-	server.Serve(&shortListener{failures: 3})
+	server.Serve(&failingListener{failures: 3})
 	if server.Counters.AcceptErrors != 3 {
-		t.Errorf("%d accept errors", server.Counters.AcceptErrors)
+		t.Errorf("%d accept errors counted, want 3", server.Counters.AcceptErrors)
 	}
 }
--- a/internal/mysql/client.go
+++ b/internal/mysql/client.go
@@ -26,8 +26,8 @@
 	// Used only on the event loop.
 	busy         bool // a statement has not been answered yet
 	disconnected bool
-	requestID    string     // request to abandon if the client disconnects; empty: none
-	load         *namedLoad // load with an id that the client waits for
+	requestID    string      // request to abandon if the client disconnects; empty: none
+	load         *loadRecord // load with an id that the client waits for
 }
 
 // serve serves the connection until it is closed.
@@ -65,7 +65,7 @@
 	login, err := c.server.authenticate(c.stream, c.connectionID)
 	var rejection *Error
 	if errors.As(err, &rejection) {
-		c.updateCounters(func(counters *ServerCounters) { counters.Denied++ })
+		c.updateCounters(func(counters *ServerCounters) { counters.DeniedLogins++ })
 		c.sendFinalError(rejection)
 	}
 	if err != nil {
--- a/internal/mysql/server.go
+++ b/internal/mysql/server.go
@@ -57,8 +57,8 @@
 	config           *Config
 	accounts         []Account
 	clients          map[*client]bool
-	loads            map[string]*namedLoad // key: account and load id
-	loadOrder        []string              // keys of loads, oldest first
+	loads            map[string]*loadRecord // key: account and load id
+	loadOrder        []string               // keys of loads, oldest first
 	lastConnectionID uint32
 	lastRequestID    uint64
 	shuttingDown     atomic.Bool
@@ -71,7 +71,7 @@
 		config:   config,
 		accounts: config.Accounts,
 		clients:  map[*client]bool{},
-		loads:    map[string]*namedLoad{},
+		loads:    map[string]*loadRecord{},
 	}
 }
 
@@ -101,7 +101,7 @@
 	s.clients[c] = true
 	tooMany := len(s.clients) > s.config.Limits.Connections && !s.evict()
 	if tooMany {
-		s.Counters.TooMany++
+		s.Counters.TooManyConnections++
 	}
 	go c.serve(tooMany)
 }
@@ -120,7 +120,7 @@
 	if oldest == nil {
 		return false
 	}
-	s.Counters.Evicted++
+	s.Counters.EvictedConnections++
 	delete(s.clients, oldest)
 	_ = oldest.stream.conn.Close()
 	return true
