--- a/internal/acceptance/clock_test.go
+++ b/internal/acceptance/clock_test.go
@@ -10,7 +10,7 @@
 
 // TestColdEngineByASteppedClock checks that an engine that has just been listed is in slow
 // start, and no longer than it may need, although the list states its start by a wall
-// clock that is an hour off: it is sent about as much as with a clock that is right.
+// clock that is an hour off: it is sent about as much as with a correct clock.
 func TestColdEngineByASteppedClock(t *testing.T) {
 	steps := []time.Duration{0, -time.Hour, time.Hour}
 	sent := make([]coldAttempts, len(steps))
@@ -22,23 +22,23 @@
 			})
 		}
 	})
-	right := sent[0]
+	correct := sent[0]
 	for i, stepped := range sent {
-		t.Logf("clock off by %v: %d attempts at first, %d after slow start", steps[i], stepped.early, stepped.late)
-		if stepped.early > 2*right.early {
+		t.Logf("clock off by %v: %d attempts at first, %d after slow start", steps[i], stepped.duringSlowStart, stepped.afterSlowStart)
+		if stepped.duringSlowStart > 2*correct.duringSlowStart {
 			t.Errorf("clock off by %v: %d attempts at the cold engine, %d with the right clock",
-				steps[i], stepped.early, right.early)
+				steps[i], stepped.duringSlowStart, correct.duringSlowStart)
 		}
-		if 2*stepped.late < right.late {
+		if 2*stepped.afterSlowStart < correct.afterSlowStart {
 			t.Errorf("clock off by %v: %d attempts after its slow start, %d with the right clock",
-				steps[i], stepped.late, right.late)
+				steps[i], stepped.afterSlowStart, correct.afterSlowStart)
 		}
 	}
 }
 
 // coldAttempts counts the attempts at an engine in the first half of its slow start, and
 // after it.
-type coldAttempts struct{ early, late int }
+type coldAttempts struct{ duringSlowStart, afterSlowStart int }
 
 // callWithColdEngine has clients call while a cold engine joins a warm one. The list states
 // its start by a clock that is off by a step.
@@ -50,7 +50,7 @@
 	}
 	engines := []*fakes.Engine{fakes.NewEngine(t, "s-warm", respond), fakes.NewEngine(t, "s-cold", respond)}
 	configure := func(_ *fakes.ProgramConfig, settings map[string]any) {
-		settingsOf(settings, "contract")["warmWithinMs"] = slowStart.Milliseconds()
+		settingsSection(settings, "contract")["warmWithinMs"] = slowStart.Milliseconds()
 	}
 	f := startOn(t, deployment{fronts: 1, cores: 8, configure: configure}, engines,
 		[]fakes.Endpoint{endpoint(engines[0], fakes.Active)})
@@ -70,8 +70,8 @@
 	<-done
 	f.checkRules()
 	return coldAttempts{
-		early: attemptsWithin(engines[1], listedAt, listedAt.Add(slowStart/2)),
-		late:  attemptsWithin(engines[1], listedAt.Add(slowStart), listedAt.Add(2*slowStart)),
+		duringSlowStart: attemptsWithin(engines[1], listedAt, listedAt.Add(slowStart/2)),
+		afterSlowStart:  attemptsWithin(engines[1], listedAt.Add(slowStart), listedAt.Add(2*slowStart)),
 	}
 }
 
--- a/internal/acceptance/faults_test.go
+++ b/internal/acceptance/faults_test.go
@@ -14,12 +14,12 @@
 )
 
 var (
-	firstSeed = flag.Uint64("seed", 1, "first seed of TestFaultsBySeed")
-	seeds     = flag.Int("seeds", 1, "how many seeds TestFaultsBySeed plays")
-	fronts    = flag.Int("fronts", 3, "processes of the front end")
-	servers   = flag.Int("engines", 9, "engines")
-	duration  = flag.Duration("lasts", 6*time.Second, "time for which faults and clients go on")
-	clients   = flag.Int("clients", 24, "clients that send one request after another")
+	firstSeed   = flag.Uint64("seed", 1, "first seed of TestFaultsBySeed")
+	seedCount   = flag.Int("seeds", 1, "how many seeds TestFaultsBySeed plays")
+	frontCount  = flag.Int("fronts", 3, "processes of the front end")
+	engineCount = flag.Int("engines", 9, "engines")
+	runDuration = flag.Duration("lasts", 6*time.Second, "time for which faults and clients go on")
+	clientCount = flag.Int("clients", 24, "clients that send one request after another")
 )
 
 // faultyResponse draws what an engine does with an attempt. About one in four has a
@@ -31,7 +31,7 @@
 	}
 	good := fakes.Response{Duration: duration, Pages: pagesOf(a.ID)}
 	ack := fakes.ResultReply(a.ID, "batches=1,cpu=1,used=1", strings.Join(good.Pages, ""))
-	notes := func(fields ...string) []fakes.StatusNote {
+	statuses := func(fields ...string) []fakes.StatusNote {
 		var list []fakes.StatusNote
 		for i, f := range fields {
 			list = append(list, fakes.StatusNote{After: duration * time.Duration(i) / time.Duration(len(fields)), Fields: f})
@@ -46,7 +46,7 @@
 	case 2:
 		return fakes.Response{Duration: duration / 8, Verb: "STALE"}
 	case 3:
-		return fakes.Response{NeverAnswers: true, Notes: notes("note=share,num=0.1")}
+		return fakes.Response{NeverAnswers: true, Notes: statuses("note=share,num=0.1")}
 	case 4:
 		return fakes.Response{Duration: duration, Reset: true}
 	case 5: // an unknown verb, while the attempt goes on
@@ -54,7 +54,7 @@
 		good.First = a.ID + " LATER - 0\r\n\r\n"
 		return good
 	case 6: // malformed statuses
-		good.Notes = notes("note=share,num=7", "note=held", "num=3", "note=short,num=NaN", "note=other,num=1", "note=share,num=0.5")
+		good.Notes = statuses("note=share,num=7", "note=held", "num=3", "note=short,num=NaN", "note=other,num=1", "note=share,num=0.5")
 		return good
 	case 7: // a duplicate reply
 		return fakes.Response{Duration: duration, Raw: ack + ack}
@@ -65,7 +65,7 @@
 	case 10: // a status after the last reply
 		return fakes.Response{Duration: duration, Raw: ack + a.ID + " EVENT note=share,num=1 0\r\n\r\n"}
 	default:
-		good.Notes = notes("note=held,num=2", "-", "note=share,num=0.4", "note=short,num=12.5")[:rng.IntN(5)]
+		good.Notes = statuses("note=held,num=2", "-", "note=share,num=0.4", "note=short,num=12.5")[:rng.IntN(5)]
 		return good
 	}
 }
@@ -75,23 +75,23 @@
 // taken gets its answer in time, none has two attempts in flight, all are forwarded
 // unchanged, keys keep their order, and draining engines get nothing new.
 func TestFaultsBySeed(t *testing.T) {
-	for s := range *seeds {
+	for s := range *seedCount {
 		seed := *firstSeed + uint64(s)
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { playFaults(t, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runFaults(t, seed) })
 	}
 }
 
-func playFaults(t *testing.T, seed uint64) {
+func runFaults(t *testing.T, seed uint64) {
 	var mu sync.Mutex
-	draws := rand.New(rand.NewPCG(seed, 1))
+	rng := rand.New(rand.NewPCG(seed, 1))
 	var engines []*fakes.Engine
 	var relays []*fakes.Relay
-	var hosts []fakes.Endpoint
-	for i := range *servers {
+	var endpoints []fakes.Endpoint
+	for i := range *engineCount {
 		e := &fakes.Engine{ID: fmt.Sprintf("s-%d", i), Respond: func(a fakes.Attempt) fakes.Response {
 			mu.Lock()
 			defer mu.Unlock()
-			return faultyResponse(draws, a)
+			return faultyResponse(rng, a)
 		}}
 		if i%3 == 0 {
 			e.IdleTimeout = time.Duration(100+50*i) * time.Millisecond
@@ -101,16 +101,16 @@
 		engines, relays = append(engines, e), append(relays, r)
 		h := endpoint(e, fakes.Active)
 		h.Address = r.Addr
-		hosts = append(hosts, h)
+		endpoints = append(endpoints, h)
 	}
-	f := startOn(t, deployment{fronts: *fronts, cores: 8}, engines, hosts)
-	end := time.Now().Add(*duration)
+	f := startOn(t, deployment{fronts: *frontCount, cores: 8}, engines, endpoints)
+	end := time.Now().Add(*runDuration)
 	var all sync.WaitGroup
-	for k := range *clients {
-		all.Go(func() { f.client(rand.New(rand.NewPCG(seed, 100+uint64(k))), k, end) })
+	for k := range *clientCount {
+		all.Go(func() { f.runClient(rand.New(rand.NewPCG(seed, 100+uint64(k))), k, end) })
 	}
-	all.Go(func() { f.disturb(rand.New(rand.NewPCG(seed, 2)), relays, hosts, end) })
-	all.Go(func() { f.restart(rand.New(rand.NewPCG(seed, 3)), end) })
+	all.Go(func() { f.injectFaults(rand.New(rand.NewPCG(seed, 2)), relays, endpoints, end) })
+	all.Go(func() { f.restartFronts(rand.New(rand.NewPCG(seed, 3)), end) })
 	all.Wait()
 	f.checkRules()
 	if served, _, _ := f.outcomes(); served == 0 {
@@ -118,12 +118,12 @@
 	}
 }
 
-// keySpacing is the time between two requests of one key, each on a new connection.
-const keySpacing = 250 * time.Millisecond
+// keyRequestInterval is the time between two requests of one key, each on a new connection.
+const keyRequestInterval = 250 * time.Millisecond
 
 // client sends one request after another until a time. Each client has a key of its own
 // and one front end, so that its entries arrive in order.
-func (f *fleet) client(rng *rand.Rand, k int, end time.Time) {
+func (f *fleet) runClient(rng *rand.Rand, k int, end time.Time) {
 	var entries sync.WaitGroup
 	defer entries.Wait()
 	for time.Now().Before(end) {
@@ -145,7 +145,7 @@
 		fr := f.fronts[k%len(f.fronts)]
 		if q.Class == entry { // not waited for, so that they queue by their key
 			entries.Go(func() { f.call(fr, q) })
-			time.Sleep(keySpacing)
+			time.Sleep(keyRequestInterval)
 			continue
 		}
 		f.call(fr, q)
@@ -154,29 +154,29 @@
 }
 
 // disturb causes faults between front ends and engines, and drains engines.
-func (f *fleet) disturb(rng *rand.Rand, relays []*fakes.Relay, hosts []fakes.Endpoint, end time.Time) {
+func (f *fleet) injectFaults(rng *rand.Rand, relays []*fakes.Relay, endpoints []fakes.Endpoint, end time.Time) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	for time.Until(end) > time.Second {
 		time.Sleep(time.Duration(50+rng.IntN(300)) * time.Millisecond)
 		k, faultDuration := rng.IntN(len(relays)), time.Duration(50+rng.IntN(900))*time.Millisecond
 		if rng.IntN(4) == 0 {
-			h := hosts[k]
+			h := endpoints[k]
 			h.State = fakes.Draining
 			f.mu.Lock()
-			_, draining := f.drainedAt[h.ID]
-			few := len(f.drainedAt) >= len(hosts)/3
-			if !draining && !few {
+			_, isDraining := f.drainedAt[h.ID]
+			limitReached := len(f.drainedAt) >= len(endpoints)/3
+			if !isDraining && !limitReached {
 				f.drainedAt[h.ID] = time.Now().Add(f.discoveryDelay)
 			}
 			f.mu.Unlock()
-			if !draining && !few {
+			if !isDraining && !limitReached {
 				f.discovery.Publish(h)
 			}
 			continue
 		}
 		if rng.IntN(5) == 0 {
-			f.disruptDiscovery(&all, []fakes.Mode{fakes.Delay, fakes.Close}[rng.IntN(2)], 2*faultDuration)
+			f.injectDiscoveryFault(&all, []fakes.Mode{fakes.Delay, fakes.Close}[rng.IntN(2)], 2*faultDuration)
 			continue
 		}
 		mode := []fakes.Mode{fakes.Delay, fakes.Close}[rng.IntN(2)]
@@ -188,14 +188,14 @@
 	}
 }
 
-// disruptDiscovery causes a fault between front ends and the discovery service. What is
+// injectDiscoveryFault causes a fault between front ends and the discovery service. What is
 // published from then on counts as known maxDiscoveryDelay later.
-func (f *fleet) disruptDiscovery(all *sync.WaitGroup, m fakes.Mode, duration time.Duration) {
+func (f *fleet) injectDiscoveryFault(all *sync.WaitGroup, m fakes.Mode, duration time.Duration) {
 	f.mu.Lock()
-	disrupted := f.discoveryDelay > 0
+	isDisrupted := f.discoveryDelay > 0
 	f.discoveryDelay = maxDiscoveryDelay
 	f.mu.Unlock()
-	if disrupted {
+	if isDisrupted {
 		return
 	}
 	f.discoveryRelay.Set(m)
@@ -207,7 +207,7 @@
 
 // restart sends front ends the signals of a release, one after another: SIGHUP, or
 // SIGTERM or SIGKILL followed by a new process.
-func (f *fleet) restart(rng *rand.Rand, end time.Time) {
+func (f *fleet) restartFronts(rng *rand.Rand, end time.Time) {
 	for time.Until(end) > 2*time.Second {
 		time.Sleep(time.Duration(500+rng.IntN(1000)) * time.Millisecond)
 		fr := f.fronts[rng.IntN(len(f.fronts))]
@@ -231,8 +231,8 @@
 				f.t.Errorf("a front end ended with %d after SIGTERM", code)
 			}
 		}
-		f.refresh(fr)
-		f.run(fr)
+		f.writeConfig(fr)
+		f.startProcess(fr)
 		f.mu.Lock()
 		f.restarts[fr.addr][last].Until = time.Now()
 		f.mu.Unlock()
--- a/internal/acceptance/fleet_test.go
+++ b/internal/acceptance/fleet_test.go
@@ -14,10 +14,10 @@
 
 // deployment describes a fleet under test.
 type deployment struct {
-	fronts   int // processes that are started
-	replicas int // front ends in the settings; 0: as many as are started
-	cores    int // of an engine
-	sockets  int
+	fronts           int // processes that are started
+	configuredFronts int // front ends in the settings; 0: as many as are started
+	cores            int // of an engine
+	sockets          int
 	// configure changes the configuration of each front end before it is written; nil:
 	// it stays as it is.
 	configure func(config *fakes.ProgramConfig, settings map[string]any)
@@ -47,7 +47,7 @@
 )
 
 func (d deployment) settings(ordinal int) map[string]any {
-	replicas := d.replicas
+	replicas := d.configuredFronts
 	if replicas == 0 {
 		replicas = d.fronts
 	}
@@ -102,17 +102,17 @@
 // start starts front ends with engines. All end with the test.
 func start(t *testing.T, d deployment, engines []*fakes.Engine) *fleet {
 	t.Helper()
-	hosts := make([]fakes.Endpoint, len(engines))
+	endpoints := make([]fakes.Endpoint, len(engines))
 	for i, e := range engines {
-		hosts[i] = endpoint(e, fakes.Active)
+		endpoints[i] = endpoint(e, fakes.Active)
 	}
-	return startOn(t, d, engines, hosts)
+	return startOn(t, d, engines, endpoints)
 }
 
 // startOn starts front ends with a list of endpoints that lead to the engines.
-func startOn(t *testing.T, d deployment, engines []*fakes.Engine, hosts []fakes.Endpoint) *fleet {
+func startOn(t *testing.T, d deployment, engines []*fakes.Engine, endpoints []fakes.Endpoint) *fleet {
 	t.Helper()
-	discovery := fakes.NewDiscovery(t, hosts)
+	discovery := fakes.NewDiscovery(t, endpoints)
 	relay := fakes.NewRelay(t, discovery.Addr)
 	f := &fleet{
 		t:              t,
@@ -126,10 +126,10 @@
 		killedAt:       map[string][]time.Time{},
 	}
 	for i := range d.fronts {
-		f.fronts = append(f.fronts, f.front(i))
+		f.fronts = append(f.fronts, f.newFrontEnd(i))
 	}
 	for _, fr := range f.fronts {
-		f.run(fr)
+		f.startProcess(fr)
 	}
 	return f
 }
@@ -139,7 +139,7 @@
 }
 
 // front writes the configuration of a front end.
-func (f *fleet) front(i int) *frontEnd {
+func (f *fleet) newFrontEnd(i int) *frontEnd {
 	f.t.Helper()
 	fr := &frontEnd{addr: testprocess.FreeAddr(f.t), path: filepath.Join(f.t.TempDir(), "config.json")}
 	sockets := f.deployment.sockets
@@ -161,13 +161,13 @@
 	if fr.config.Settings, err = json.Marshal(settings); err != nil {
 		f.t.Fatal(err)
 	}
-	f.refresh(fr)
+	f.writeConfig(fr)
 	return fr
 }
 
 // refresh writes a front end's configuration, with what the discovery service has
 // published so far, as a platform does before it starts a process.
-func (f *fleet) refresh(fr *frontEnd) {
+func (f *fleet) writeConfig(fr *frontEnd) {
 	f.t.Helper()
 	fr.config.KnownUpdates, _ = f.discovery.Since(0)
 	if err := fr.config.Write(fr.path); err != nil {
@@ -176,7 +176,7 @@
 }
 
 // run starts a front end's process and waits until it is healthy.
-func (f *fleet) run(fr *frontEnd) {
+func (f *fleet) startProcess(fr *frontEnd) {
 	f.t.Helper()
 	fr.process = testprocess.Start(f.t, fakes.ProgramEnvironment(fr.path, "", f.t.TempDir()))
 	testprocess.Until(f.t, "the front end to be healthy", func() bool { return fakes.Healthy(fr.addr) })
@@ -249,18 +249,18 @@
 	return served, refused, failed
 }
 
-// maxPrinted is how many broken rules a failing test prints.
-const maxPrinted = 12
+// maxPrintedViolations is how many broken rules a failing test prints.
+const maxPrintedViolations = 12
 
 // checkRules fails the test if a rule was broken.
 func (f *fleet) checkRules() {
 	f.t.Helper()
 	broken := f.violations()
-	for _, b := range broken[:min(len(broken), maxPrinted)] {
+	for _, b := range broken[:min(len(broken), maxPrintedViolations)] {
 		f.t.Error(b)
 	}
-	if len(broken) > maxPrinted {
-		f.t.Errorf("and %d more", len(broken)-maxPrinted)
+	if len(broken) > maxPrintedViolations {
+		f.t.Errorf("and %d more", len(broken)-maxPrintedViolations)
 	}
 	served, refused, failed := f.outcomes()
 	f.t.Logf("%d served, %d refused, %d failed, %d rules broken", served, refused, failed, len(broken))
--- a/internal/acceptance/incident_test.go
+++ b/internal/acceptance/incident_test.go
@@ -12,10 +12,10 @@
 
 // responseWithStatuses is a response with the statuses that the protocol allows before
 // the last reply: what the attempt waits for or lacks, then its progress.
-func responseWithStatuses(a fakes.Attempt, takes time.Duration) fakes.Response {
-	return fakes.Response{Duration: takes, Pages: pagesOf(a.ID), Notes: []fakes.StatusNote{
-		{Fields: "note=held,num=2"}, {Fields: "-"}, {After: takes / 4, Fields: "note=short,num=96"},
-		{After: takes / 2, Fields: "note=share,num=0.5"}}}
+func responseWithStatuses(a fakes.Attempt, duration time.Duration) fakes.Response {
+	return fakes.Response{Duration: duration, Pages: pagesOf(a.ID), Notes: []fakes.StatusNote{
+		{Fields: "note=held,num=2"}, {Fields: "-"}, {After: duration / 4, Fields: "note=short,num=96"},
+		{After: duration / 2, Fields: "note=share,num=0.5"}}}
 }
 
 // TestStatusesEndNothing checks that a request whose engine reports statuses has one
@@ -99,20 +99,20 @@
 // replaces engines in a list of thousands. (Incident of 2026-12-02: an update took 0.4 s
 // of the event loop, so hundreds of requests went unanswered.)
 func TestEndpointUpdatesOfALargeFleet(t *testing.T) {
-	const size, replicas, changes = 3200, 900, 60
+	const size, configuredFronts, changes = 3200, 900, 60
 	const minServed = 100
-	served := make([]*fakes.Engine, 8) // real ones; the rest of the list leads to the same addresses
-	for i := range served {
-		served[i] = fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Response {
+	engines := make([]*fakes.Engine, 8) // real ones; the rest of the list leads to the same addresses
+	for i := range engines {
+		engines[i] = fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Response {
 			return fakes.Response{Duration: 20 * time.Millisecond, Pages: pagesOf(a.ID)}
 		})
 	}
-	hosts := make([]fakes.Endpoint, size)
-	for i := range hosts {
-		hosts[i] = endpoint(served[i%len(served)], fakes.Active)
-		hosts[i].ID = fmt.Sprintf("s-%08x", uint32(i)*2654435761)
+	endpoints := make([]fakes.Endpoint, size)
+	for i := range endpoints {
+		endpoints[i] = endpoint(engines[i%len(engines)], fakes.Active)
+		endpoints[i].ID = fmt.Sprintf("s-%08x", uint32(i)*2654435761)
 	}
-	f := startOn(t, deployment{fronts: 1, replicas: replicas, cores: 2}, served, hosts)
+	f := startOn(t, deployment{fronts: 1, configuredFronts: configuredFronts, cores: 2}, engines, endpoints)
 	stop := make(chan bool)
 	var all sync.WaitGroup
 	for range 4 {
@@ -130,18 +130,18 @@
 	for k := range changes {
 		time.Sleep(50 * time.Millisecond)
 		f.waitForServed(2*k, time.Second) // on a busy machine the clients call slowly
-		leaves, comes := hosts[k*7%size], hosts[k*7%size]
-		leaves.State = fakes.Removed
-		comes.ID = fmt.Sprintf("new-%08x", k)
-		f.discovery.Publish(leaves, comes)
+		removed, added := endpoints[k*7%size], endpoints[k*7%size]
+		removed.State = fakes.Removed
+		added.ID = fmt.Sprintf("new-%08x", k)
+		f.discovery.Publish(removed, added)
 	}
 	time.Sleep(500 * time.Millisecond)
 	close(stop)
 	all.Wait()
 	f.checkRules()
-	ok, refused, failed := f.outcomes()
-	if ok < minServed || refused+failed > ok/10 {
-		t.Errorf("%d served, %d refused, %d failed", ok, refused, failed)
+	served, refused, failed := f.outcomes()
+	if served < minServed || refused+failed > served/10 {
+		t.Errorf("%d served, %d refused, %d failed", served, refused, failed)
 	}
 	cpu := f.fronts[0].process.CPUTime()
 	count := f.fronts[0].process.Stop()
--- a/internal/acceptance/protocol_test.go
+++ b/internal/acceptance/protocol_test.go
@@ -17,13 +17,13 @@
 
 // The ids of requests that tests name begin with an f: those that call makes up never do.
 
-// settingsOf returns a part of a configuration's settings.
-func settingsOf(settings map[string]any, part string) map[string]any {
-	return settings[part].(map[string]any)
+// settingsSection returns a part of a configuration's settings.
+func settingsSection(settings map[string]any, section string) map[string]any {
+	return settings[section].(map[string]any)
 }
 
-// classOf returns the settings of a class.
-func classOf(settings map[string]any, name string) map[string]any {
+// classSettings returns the settings of a class.
+func classSettings(settings map[string]any, name string) map[string]any {
 	for _, class := range settings["categories"].([]any) {
 		if class := class.(map[string]any); class["name"] == name {
 			return class
@@ -78,7 +78,7 @@
 	if r := call(firstID); r.Status != 502 {
 		t.Errorf("a load whose attempts all fail: status %d, %q", r.Status, r.Err)
 	}
-	time.Sleep(keySpacing)
+	time.Sleep(keyRequestInterval)
 	if r := call(retryID); !r.Served() {
 		t.Errorf("the client's retry: status %d, %q", r.Status, r.Err)
 	}
@@ -111,8 +111,8 @@
 		return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 	})
 	f := start(t, deployment{fronts: 1, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
-		classOf(settings, entry)["windowMs"] = window.Milliseconds()
-		settingsOf(settings, "domain")["progressMs"] = 0 // no notes come, and none are missed
+		classSettings(settings, entry)["windowMs"] = window.Milliseconds()
+		settingsSection(settings, "domain")["progressMs"] = 0 // no notes come, and none are missed
 	}}, engines)
 	call := func(statement string) fakes.Reply {
 		q := fakes.Request{Class: entry, Key: statement, Statement: statement, Timeout: 4 * time.Second}
@@ -162,45 +162,45 @@
 				return response
 			})
 			f := start(t, deployment{fronts: 1, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
-				settingsOf(settings, "domain")["progressMs"] = 0 // no notes come, and none are missed
+				settingsSection(settings, "domain")["progressMs"] = 0 // no notes come, and none are missed
 			}}, engines)
 			var all sync.WaitGroup
 			c.first.ID, c.first.Class, c.first.Key = "f0000000000000b1", entry, "set-1"
 			all.Go(func() { f.call(f.fronts[0], c.first) })
-			time.Sleep(keySpacing)
+			time.Sleep(keyRequestInterval)
 			next := f.call(f.fronts[0], fakes.Request{Class: entry, Key: "set-1", Timeout: 8 * time.Second})
 			all.Wait()
 			first, sent := attemptsOf(engines, c.first.ID), attemptsOf(engines, next.ID)
 			if len(first) == 0 || first[0].End != c.end || !next.Served() || len(sent) != 1 {
 				t.Fatalf("first %+v, next %+v with %d attempts", first, next, len(sent))
 			}
-			rest := sent[0].ReceivedAt.Sub(first[0].EndedAt)
-			if rest < keySettle-fakes.Tolerance || rest > keySettle+slack {
-				t.Errorf("the next of the key was sent %v after the end, want %v", rest, keySettle)
+			delay := sent[0].ReceivedAt.Sub(first[0].EndedAt)
+			if delay < keySettle-fakes.Tolerance || delay > keySettle+slack {
+				t.Errorf("the next of the key was sent %v after the end, want %v", delay, keySettle)
 			}
 			f.checkRules()
 		})
 	}
 }
 
-// noteInterval is the time between an engine's notes.
-const noteInterval = time.Second
+// statusInterval is the time between an engine's notes.
+const statusInterval = time.Second
 
-// malformedNotes are notes that say nothing that can be used.
-var malformedNotes = []string{
+// malformedStatuses are notes that say nothing that can be used.
+var malformedStatuses = []string{
 	"note=share,num=7", "note=share,num=-0.1", "note=share", "num=0.5", "note=short,num=NaN",
 	"note=short,num=-96", "note=held,num=3", "note=held,num=0", "note=later,num=1", "note=share,num=half",
 }
 
-// wellFormedNotes are the notes of the protocol.
-var wellFormedNotes = []string{
+// wellFormedStatuses are the notes of the protocol.
+var wellFormedStatuses = []string{
 	"note=held,num=2", "note=short,num=96", "note=share,num=0.5", "note=held,num=1", "-",
 }
 
 // spread returns notes that come one after another within a time.
-func spread(notes []string, within time.Duration) (list []fakes.StatusNote) {
-	for i, fields := range notes {
-		after := within * time.Duration(i) / time.Duration(len(notes))
+func spreadStatuses(statuses []string, within time.Duration) (list []fakes.StatusNote) {
+	for i, fields := range statuses {
+		after := within * time.Duration(i) / time.Duration(len(statuses))
 		list = append(list, fakes.StatusNote{After: after, Fields: fields})
 	}
 	return list
@@ -212,46 +212,46 @@
 // nothing by themselves, and are no sign of life.
 func TestNotesReachTheDecisions(t *testing.T) {
 	var mixed []string
-	for i, fields := range wellFormedNotes {
-		mixed = append(mixed, malformedNotes[2*i], fields, malformedNotes[2*i+1])
+	for i, fields := range wellFormedStatuses {
+		mixed = append(mixed, malformedStatuses[2*i], fields, malformedStatuses[2*i+1])
 	}
 	for _, c := range []struct {
 		name                   string
-		notes                  []string
+		statuses               []string
 		attempts               int
-		passedOn               int
+		wantAccepted           int
 		minDropped, maxDropped int
 	}{
-		{"mixed", mixed, 1, len(wellFormedNotes), len(malformedNotes), len(malformedNotes)},
+		{"mixed", mixed, 1, len(wellFormedStatuses), len(malformedStatuses), len(malformedStatuses)},
 		// The attempt is cancelled on the way, and some of its notes may come after that.
-		{"malformed alone", malformedNotes, 2, 0, len(malformedNotes) / 3, len(malformedNotes)},
+		{"malformed alone", malformedStatuses, 2, 0, len(malformedStatuses) / 3, len(malformedStatuses)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			const takes = 5 * noteInterval
+			const duration = 5 * statusInterval
 			var once sync.Once
 			engines := newEngines(t, 2, func(a fakes.Attempt) fakes.Response {
 				response := fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 				once.Do(func() {
-					response.Duration = takes
-					response.Notes = spread(c.notes, takes)
+					response.Duration = duration
+					response.Notes = spreadStatuses(c.statuses, duration)
 				})
 				return response
 			})
 			f := start(t, deployment{fronts: 1, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
-				settingsOf(settings, "domain")["progressMs"] = noteInterval.Milliseconds()
+				settingsSection(settings, "domain")["progressMs"] = statusInterval.Milliseconds()
 			}}, engines)
 			r := f.call(f.fronts[0], fakes.Request{Class: entry, Key: "set-1", Timeout: 15 * time.Second})
 			made := attemptsOf(engines, r.ID)
 			if !r.Served() || len(made) != c.attempts {
 				t.Fatalf("status %d, %d attempts, want %d", r.Status, len(made), c.attempts)
 			}
-			if lasted := made[0].EndedAt.Sub(made[0].ReceivedAt); lasted < 2*noteInterval {
+			if lasted := made[0].EndedAt.Sub(made[0].ReceivedAt); lasted < 2*statusInterval {
 				t.Errorf("the first attempt ended after %v", lasted)
 			}
 			f.checkRules()
 			counters := f.fronts[0].counters("engines")
 			dropped := int(counters["SpoiltNotes"].(float64))
-			if counters["Notes"] != float64(c.passedOn) || dropped < c.minDropped || dropped > c.maxDropped {
+			if counters["Notes"] != float64(c.wantAccepted) || dropped < c.minDropped || dropped > c.maxDropped {
 				t.Errorf("%v notes passed on, %d dropped", counters["Notes"], dropped)
 			}
 			if counters["UnknownWords"] != 0.0 || counters["Garbage"] != 0.0 {
@@ -269,9 +269,9 @@
 	engines := newEngines(t, 1, func(a fakes.Attempt) fakes.Response {
 		return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 	})
-	silent := endpoint(&fakes.Engine{ID: "s-silent", Addr: unreachableAddr(t)}, fakes.Active)
-	hosts := []fakes.Endpoint{endpoint(engines[0], fakes.Active), silent}
-	f := startOn(t, deployment{fronts: 1, cores: 8}, engines, hosts)
+	unresponsive := endpoint(&fakes.Engine{ID: "s-silent", Addr: unreachableAddr(t)}, fakes.Active)
+	endpoints := []fakes.Endpoint{endpoint(engines[0], fakes.Active), unresponsive}
+	f := startOn(t, deployment{fronts: 1, cores: 8}, engines, endpoints)
 	waited := 0
 	for range 8 {
 		// A load that must not run twice: that nothing was sent must be certain.
@@ -332,11 +332,11 @@
 				return fakes.Response{Duration: 20 * time.Millisecond, Pages: pagesOf(a.ID)}
 			})
 			listen := testprocess.FreeAddr(t)
-			f := start(t, deployment{fronts: 1, replicas: 2, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
+			f := start(t, deployment{fronts: 1, configuredFronts: 2, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
 				config.PeerListen = listen
 				config.Peers = []string{listen, peer}
-				settingsOf(settings, "limits")["mayTell"] = allowed
-				settingsOf(settings, "domain")["takesPriority"] = allowed
+				settingsSection(settings, "limits")["mayTell"] = allowed
+				settingsSection(settings, "domain")["takesPriority"] = allowed
 			}}, engines)
 			for k := range 40 {
 				f.call(f.fronts[0], fakes.Request{Class: []string{lookup, report}[k%2], Timeout: 4 * time.Second})
@@ -361,9 +361,9 @@
 				t.Errorf("priorities %v, want those of two classes", priorities)
 			}
 			counters := f.fronts[0].process.Stop()
-			told := counters["node"].(map[string]any)["Told"].(float64)
-			if sent := counters["engines"].(map[string]any)["Probes"]; sent != 0.0 || (told > 0) != allowed {
-				t.Errorf("%v probes, %v messages to peers", sent, told)
+			sentToPeers := counters["node"].(map[string]any)["Told"].(float64)
+			if sent := counters["engines"].(map[string]any)["Probes"]; sent != 0.0 || (sentToPeers > 0) != allowed {
+				t.Errorf("%v probes, %v messages to peers", sent, sentToPeers)
 			}
 		})
 	}
@@ -401,10 +401,10 @@
 	})
 	peer, stranger := listenDatagrams(t), listenDatagrams(t)
 	listen := testprocess.FreeAddr(t)
-	f := start(t, deployment{fronts: 1, replicas: 2, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
+	f := start(t, deployment{fronts: 1, configuredFronts: 2, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
 		config.PeerListen = listen
 		config.Peers = []string{listen, peer.LocalAddr().String()}
-		settingsOf(settings, "limits")["mayTell"] = true
+		settingsSection(settings, "limits")["mayTell"] = true
 	}}, engines)
 	const each = 5
 	to, err := net.ResolveUDPAddr("udp", listen)
@@ -460,7 +460,7 @@
 		return response
 	})
 	f := start(t, deployment{fronts: 2, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
-		settingsOf(settings, "domain")["progressMs"] = 0 // no notes come, and none are missed
+		settingsSection(settings, "domain")["progressMs"] = 0 // no notes come, and none are missed
 	}}, engines)
 	const loadID = "f0000000000000c1"
 	var loads, lookups sync.WaitGroup
@@ -471,10 +471,10 @@
 		}
 	})
 	testprocess.Until(t, "the load's attempt", func() bool { return len(attemptsOf(engines, loadID)) == 1 })
-	var over atomic.Bool
+	var stopped atomic.Bool
 	for k := range 6 {
 		lookups.Go(func() {
-			for !over.Load() {
+			for !stopped.Load() {
 				f.call(f.fronts[k%2], fakes.Request{Class: lookup, Timeout: 4 * time.Second})
 			}
 		})
@@ -489,7 +489,7 @@
 		}
 	}
 	loads.Wait()
-	over.Store(true)
+	stopped.Store(true)
 	lookups.Wait()
 	f.checkRules()
 	if made := attemptsOf(engines, loadID); len(made) != 1 || made[0].End != fakes.Answered {
@@ -502,18 +502,18 @@
 func TestInvalidSettingEndsTheProgram(t *testing.T) {
 	engines := newEngines(t, 1, nil)
 	for key, change := range map[string]func(map[string]any){
-		"limits.connectTimeoutMs":      func(s map[string]any) { settingsOf(s, "limits")["connectTimeoutMs"] = -250 },
-		"limits.streamsPerConn":        func(s map[string]any) { settingsOf(s, "limits")["streamsPerConn"] = "100" },
-		"reporting.via":                func(s map[string]any) { settingsOf(s, "reporting")["via"] = "letters" },
-		`unknown effect "keyed"`:       func(s map[string]any) { classOf(s, entry)["effect"] = "keyed" },
-		"contract.orderSettleMs: -300": func(s map[string]any) { settingsOf(s, "contract")["orderSettleMs"] = -300 },
+		"limits.connectTimeoutMs":      func(s map[string]any) { settingsSection(s, "limits")["connectTimeoutMs"] = -250 },
+		"limits.streamsPerConn":        func(s map[string]any) { settingsSection(s, "limits")["streamsPerConn"] = "100" },
+		"reporting.via":                func(s map[string]any) { settingsSection(s, "reporting")["via"] = "letters" },
+		`unknown effect "keyed"`:       func(s map[string]any) { classSettings(s, entry)["effect"] = "keyed" },
+		"contract.orderSettleMs: -300": func(s map[string]any) { settingsSection(s, "contract")["orderSettleMs"] = -300 },
 	} {
 		t.Run(key, func(t *testing.T) {
 			discovery := fakes.NewDiscovery(t, []fakes.Endpoint{endpoint(engines[0], fakes.Active)})
 			configure := func(_ *fakes.ProgramConfig, settings map[string]any) { change(settings) }
 			d := deployment{fronts: 1, cores: 8, configure: configure}
 			f := &fleet{t: t, deployment: d, discovery: discovery, discoveryAddr: discovery.Addr}
-			fr := f.front(0)
+			fr := f.newFrontEnd(0)
 			env := []string{"PROXY_CONFIG=" + fr.path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_CONTROL="}
 			p := testprocess.Start(t, env)
 			if code := p.Wait(); code != 1 || strings.Count(p.Log(), "\n") != 1 || !strings.Contains(p.Log(), key) {
--- a/internal/cmd/knownfailures/main.go
+++ b/internal/cmd/knownfailures/main.go
@@ -30,7 +30,7 @@
 )
 
 func main() {
-	known, err := read(knownFailuresFile)
+	known, err := readKnownFailures(knownFailuresFile)
 	if err == nil {
 		err = run(os.Args[1:], known)
 	}
@@ -40,9 +40,9 @@
 	}
 }
 
-// read returns the tests that the file names, with cause and issue; none if there is no
+// readKnownFailures returns the tests that the file names, with cause and issue; none if there is no
 // file.
-func read(path string) (map[string]string, error) {
+func readKnownFailures(path string) (map[string]string, error) {
 	data, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
 		return nil, nil
@@ -62,7 +62,7 @@
 		if known[parts[0]] != "" {
 			return nil, fmt.Errorf("%s:%d: %s is named twice", path, k+1, parts[0])
 		}
-		if !exists(filepath.Dir(path), parts[0]) {
+		if !testExists(filepath.Dir(path), parts[0]) {
 			return nil, fmt.Errorf("%s:%d: there is no test %s", path, k+1, parts[0])
 		}
 		known[parts[0]] = parts[1] + ", issue " + parts[2]
@@ -73,8 +73,8 @@
 	return known, nil
 }
 
-// exists reports whether a package below root has a test.
-func exists(root, name string) bool {
+// testExists reports whether a package below root has a test.
+func testExists(root, name string) bool {
 	dir, test, ok := strings.Cut(name, ".")
 	if !ok || !strings.HasPrefix(test, "Test") {
 		return false
@@ -88,7 +88,7 @@
 	return false
 }
 
-// run runs the command, copies its output, and judges it.
+// run runs the command, copies its output, and classifies its failures.
 func run(args []string, known map[string]string) error {
 	if len(args) == 0 {
 		return fmt.Errorf("no test command")
@@ -102,60 +102,60 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	knownFailures, unexpected := judge(io.TeeReader(out, os.Stdout), known)
-	failed := cmd.Wait()
+	knownFailures, unexpected := classify(io.TeeReader(out, os.Stdout), known)
+	exitErr := cmd.Wait()
 	for _, name := range knownFailures {
 		fmt.Printf("known failure: %s: %s\n", name, known[name])
 	}
 	switch {
 	case unexpected != nil:
 		return unexpected
-	case failed != nil && len(knownFailures) == 0:
-		return failed
+	case exitErr != nil && len(knownFailures) == 0:
+		return exitErr
 	}
 	return nil
 }
 
 var (
-	failing    = regexp.MustCompile(`^--- FAIL: (\S+) \(`)
-	packageEnd = regexp.MustCompile(`^(?:FAIL|ok  )\t` + module + `(\S+)`)
+	failedTestLine    = regexp.MustCompile(`^--- FAIL: (\S+) \(`)
+	packageResultLine = regexp.MustCompile(`^(?:FAIL|ok  )\t` + module + `(\S+)`)
 )
 
-// judge reads a test run's output and returns the known tests that failed, and an error
+// classify reads a test run's output and returns the known tests that failed, and an error
 // that names what else failed.
-func judge(out io.Reader, known map[string]string) (knownFailures []string, unexpected error) {
-	var here, others []string
+func classify(out io.Reader, known map[string]string) (knownFailures []string, unexpected error) {
+	var failedTests, unknownFailures []string
 	lines := bufio.NewScanner(out)
 	lines.Buffer(nil, 16<<20)
 	for lines.Scan() {
 		line := lines.Text()
-		if m := failing.FindStringSubmatch(line); m != nil {
-			here = append(here, m[1])
+		if m := failedTestLine.FindStringSubmatch(line); m != nil {
+			failedTests = append(failedTests, m[1])
 		}
 		if strings.HasPrefix(line, "panic:") {
-			others = append(others, line)
+			unknownFailures = append(unknownFailures, line)
 		}
-		m := packageEnd.FindStringSubmatch(line)
+		m := packageResultLine.FindStringSubmatch(line)
 		if m == nil {
 			continue
 		}
-		if strings.HasPrefix(line, "FAIL") && len(here) == 0 {
-			others = append(others, m[1])
+		if strings.HasPrefix(line, "FAIL") && len(failedTests) == 0 {
+			unknownFailures = append(unknownFailures, m[1])
 		}
-		for _, test := range here {
+		for _, test := range failedTests {
 			if name := m[1] + "." + test; known[name] != "" {
 				knownFailures = append(knownFailures, name)
 			} else {
-				others = append(others, name)
+				unknownFailures = append(unknownFailures, name)
 			}
 		}
-		here = nil
+		failedTests = nil
 	}
 	if err := lines.Err(); err != nil {
 		return knownFailures, err
 	}
-	if len(here)+len(others) > 0 {
-		return knownFailures, fmt.Errorf("failed and not known: %s", strings.Join(append(others, here...), ", "))
+	if len(failedTests)+len(unknownFailures) > 0 {
+		return knownFailures, fmt.Errorf("failed and not known: %s", strings.Join(append(unknownFailures, failedTests...), ", "))
 	}
 	return knownFailures, nil
 }
--- a/internal/cmd/knownfailures/main_test.go
+++ b/internal/cmd/knownfailures/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestJudge checks that only what the file names is passed over.
-func TestJudge(t *testing.T) {
+// TestClassify checks that only what the file names is passed over.
+func TestClassify(t *testing.T) {
 	known := map[string]string{"internal/a.TestRed": "why"}
 	const red = "--- FAIL: TestRed (0.1s)\n    --- FAIL: TestRed/sub (0.1s)\nFAIL\nFAIL\tdewhill/internal/a\t0.2s\n"
 	for out, want := range map[string]string{
@@ -21,7 +21,7 @@
 		red + "panic: x\nFAIL\tdewhill/internal/b\t1s\n": "panic: x, internal/b",
 		"--- FAIL: TestRed (0.1s)\npanic: x\nFAIL\tdewhill/internal/a\t0.1s\nFAIL\n": "panic: x",
 	} {
-		_, err := judge(strings.NewReader(out), known)
+		_, err := classify(strings.NewReader(out), known)
 		if got := strings.TrimPrefix(errText(err), "failed and not known: "); got != want {
 			t.Errorf("%q: %q, want %q", out, got, want)
 		}
@@ -35,8 +35,8 @@
 	return err.Error()
 }
 
-// TestRead checks that a malformed file is an error that names the line.
-func TestRead(t *testing.T) {
+// TestReadKnownFailures checks that a malformed file is an error that names the line.
+func TestReadKnownFailures(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "a_test.go"), []byte("package a\nfunc TestA(t *testing.T) {\nfunc TestB(t *testing.T) {\n"+
 		"func TestC(t *testing.T) {\nfunc TestD(t *testing.T) {\n"), 0o600); err != nil {
@@ -57,11 +57,11 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := read(path); !strings.Contains(errText(err), want) || want == "" && err != nil {
+		if _, err := readKnownFailures(path); !strings.Contains(errText(err), want) || want == "" && err != nil {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
-	if known, err := read(filepath.Join(dir, "none")); known != nil || err != nil {
+	if known, err := readKnownFailures(filepath.Join(dir, "none")); known != nil || err != nil {
 		t.Errorf("no file: %v, %v", known, err)
 	}
 }
--- a/internal/faultplan/deliver.go
+++ b/internal/faultplan/deliver.go
@@ -23,15 +23,15 @@
 		if !f.isActive(nowMS) || f.Kind.IsProcessFault() {
 			continue
 		}
-		isHit := rng.Float64() < f.Rate
-		if f.drops(from, to, isHit) {
+		selected := rng.Float64() < f.Rate
+		if f.drops(from, to, selected) {
 			return nil
 		}
 		first := &copies[0]
 		switch {
 		case f.Kind == PacketDelay:
 			first.DelayMS += f.DelayMS * rng.Float64()
-		case !isHit:
+		case !selected:
 		case f.Kind == PacketReordering:
 			first.DelayMS += f.DelayMS
 		case f.Kind == PacketDuplication:
@@ -43,14 +43,14 @@
 	return copies
 }
 
-// drops reports whether the fault, which is active, drops a datagram. isHit: the
+// drops reports whether the fault, which is active, drops a datagram. selected: the
 // datagram is one of those that the fault's rate selects.
-func (f *Fault) drops(from, to int, isHit bool) bool {
+func (f *Fault) drops(from, to int, selected bool) bool {
 	fromTarget := slices.Contains(f.Targets, from)
 	toTarget := slices.Contains(f.Targets, to)
 	switch f.Kind {
 	case PacketLoss:
-		return isHit
+		return selected
 	case OneWayPartition:
 		return fromTarget && !toTarget
 	case Partition:
@@ -64,11 +64,11 @@
 
 // corrupted returns a copy of a message that is cut, or has one byte changed.
 func corrupted(rng *rand.Rand, message []byte) []byte {
-	const cutOneIn = 4
-	bad := slices.Clone(message)
-	if rng.IntN(cutOneIn) == 0 {
-		return bad[:rng.IntN(len(bad))]
+	const corruptionsPerCut = 4
+	damaged := slices.Clone(message)
+	if rng.IntN(corruptionsPerCut) == 0 {
+		return damaged[:rng.IntN(len(damaged))]
 	}
-	bad[rng.IntN(len(bad))] ^= byte(1 + rng.IntN(255))
-	return bad
+	damaged[rng.IntN(len(damaged))] ^= byte(1 + rng.IntN(255))
+	return damaged
 }
--- a/internal/faultplan/faultplan.go
+++ b/internal/faultplan/faultplan.go
@@ -101,7 +101,7 @@
 	Faults []Fault
 }
 
-// String describes the timeline, a fault a line.
+// String describes the timeline, one fault per line.
 func (t Timeline) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d, %d processes\n", t.Seed, t.Size)
--- a/internal/faultplan/faultplan_test.go
+++ b/internal/faultplan/faultplan_test.go
@@ -27,8 +27,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			line := Timeline{Size: 3, Faults: []Fault{{Kind: c.kind, StartMS: 10, DurationMS: 20, Targets: []int{0, 1}}}}
-			copies := line.Deliver(rand.New(rand.NewPCG(1, 1)), c.nowMS, c.from, c.to, []byte("x"))
+			timeline := Timeline{Size: 3, Faults: []Fault{{Kind: c.kind, StartMS: 10, DurationMS: 20, Targets: []int{0, 1}}}}
+			copies := timeline.Deliver(rand.New(rand.NewPCG(1, 1)), c.nowMS, c.from, c.to, []byte("x"))
 			if (len(copies) == 0) != c.drops {
 				t.Errorf("%d copies arrive", len(copies))
 			}
@@ -40,12 +40,12 @@
 // two of its own.
 func TestGenerate(t *testing.T) {
 	for seed := uint64(1); seed <= 50; seed++ {
-		line := Generate(seed, 16, 10, 20_000)
-		if end := line.End(); end > 20_000 {
-			t.Errorf("%vends at %.0f ms", line, end)
+		timeline := Generate(seed, 16, 10, 20_000)
+		if end := timeline.End(); end > 20_000 {
+			t.Errorf("%vends at %.0f ms", timeline, end)
 		}
 		faults := make([]int, 16)
-		for _, f := range line.Faults {
+		for _, f := range timeline.Faults {
 			for _, i := range f.Targets {
 				if f.Kind.IsProcessFault() {
 					faults[i]++
@@ -54,7 +54,7 @@
 		}
 		for i, n := range faults {
 			if n > 1 {
-				t.Errorf("%vprocess %d has %d faults", line, i, n)
+				t.Errorf("%vprocess %d has %d faults", timeline, i, n)
 			}
 		}
 	}
--- a/internal/faulttest/clients.go
+++ b/internal/faulttest/clients.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	loadOneIn          = 3 // requests of a client of which one is a load
+	requestsPerLoad    = 3 // requests of a client of which one is a load
 	minRequestInterval = 5 * time.Millisecond
 	requestJitterMS    = 20
-	answerTimeout      = 8 * time.Second
-	// secondAnswerTimeout is for how long a client looks for a second answer, which
+	responseTimeout    = 8 * time.Second
+	// duplicateResponseTimeout is for how long a client looks for a second answer, which
 	// must not come.
-	secondAnswerTimeout = 100 * time.Millisecond
+	duplicateResponseTimeout = 100 * time.Millisecond
 )
 
 // newRequest returns a client's request of a class with an ID.
@@ -37,10 +37,10 @@
 
 // clientRequest is a client's request and what became of it.
 type clientRequest struct {
-	class   string
-	front   int // index of the front end
-	answers int
-	status  int // of the last answer
+	class     string
+	front     int // index of the front end
+	responses int
+	status    int // of the last answer
 }
 
 // StartClients starts clients that send requests, each to a front end drawn by the
@@ -70,7 +70,7 @@
 		}
 		front := f.Fronts[rng.IntN(len(f.Fronts))]
 		class := lookupClass
-		if i%loadOneIn == 0 {
+		if i%requestsPerLoad == 0 {
 			class = loadClass
 		}
 		f.sendRequest(front, fmt.Sprintf("%04x%012x", client, i), class)
@@ -90,7 +90,7 @@
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	if err := conn.SetDeadline(time.Now().Add(answerTimeout)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(responseTimeout)); err != nil {
 		return
 	}
 	message := newRequest(class, id)
@@ -105,10 +105,10 @@
 			return
 		}
 		f.mu.Lock()
-		request.answers++
+		request.responses++
 		request.status = status
 		f.mu.Unlock()
-		if err := conn.SetDeadline(time.Now().Add(secondAnswerTimeout)); err != nil {
+		if err := conn.SetDeadline(time.Now().Add(duplicateResponseTimeout)); err != nil {
 			return
 		}
 	}
@@ -145,13 +145,13 @@
 	}
 	for _, id := range f.requestOrder {
 		request := f.requests[id]
-		if request.answers > 1 {
-			violate("%s %s has %d answers", request.class, id, request.answers)
+		if request.responses > 1 {
+			violate("%s %s has %d answers", request.class, id, request.responses)
 		}
 		if request.class == loadClass && len(enginesByID[id]) > 1 {
 			violate("load %s of n%d was sent to %v", id, request.front, enginesByID[id])
 		}
-		if request.answers > 0 {
+		if request.responses > 0 {
 			results.Answered++
 		}
 		if request.status == 200 {
--- a/internal/faulttest/fleet.go
+++ b/internal/faulttest/fleet.go
@@ -29,8 +29,8 @@
 	"dewhill/internal/testprocess"
 )
 
-// engineTime is how long a fake engine takes for a request.
-const engineTime = 5 * time.Millisecond
+// engineDuration is how long a fake engine takes for a request.
+const engineDuration = 5 * time.Millisecond
 
 // Options describe a fleet.
 type Options struct {
@@ -118,7 +118,7 @@
 	var endpoints []fakes.Endpoint
 	for i := range f.options.Engines {
 		engine := fakes.NewEngine(f.t, fmt.Sprintf("s-%02d", i), func(fakes.Attempt) fakes.Response {
-			return fakes.Response{Duration: engineTime, Pages: []string{"a\tb\tc\n"}}
+			return fakes.Response{Duration: engineDuration, Pages: []string{"a\tb\tc\n"}}
 		})
 		f.Engines = append(f.Engines, engine)
 		endpoints = append(endpoints, engine.Endpoint(fakes.Active))
--- a/internal/faulttest/fleet_test.go
+++ b/internal/faulttest/fleet_test.go
@@ -65,7 +65,7 @@
 		seed := *firstSeed + uint64(k)
 		f := startConverged(t, Options{Seed: seed, Size: *fleetSize, Engines: 6, ClusterConfig: "on = true\n"})
 		stopClients := f.StartClients(4)
-		f.Play(faultplan.Generate(seed, *fleetSize, *faultCount, float64(*timelineDuration/time.Millisecond)))
+		f.RunTimeline(faultplan.Generate(seed, *fleetSize, *faultCount, float64(*timelineDuration/time.Millisecond)))
 		took, converged := f.AwaitConvergence(*convergenceLimit)
 		stopClients()
 		results := f.checkClients(t)
--- a/internal/faulttest/overrides_test.go
+++ b/internal/faulttest/overrides_test.go
@@ -40,8 +40,8 @@
 	return state, status == 200 && json.Unmarshal(body, &state) == nil
 }
 
-// isOut reports whether an engine is out of service.
-func (s *replicatedState) isOut(engine string) bool {
+// isOutOfService reports whether an engine is out of service.
+func (s *replicatedState) isOutOfService(engine string) bool {
 	for _, out := range s.EnginesOut {
 		if out.Engine == engine {
 			return true
@@ -92,8 +92,8 @@
 		request := f.requests[attempt.ID]
 		f.mu.Unlock()
 		if request != nil && attempt.ReceivedAt.After(after) && isFrom(request.front) {
-			lateMS := attempt.ReceivedAt.Sub(after).Seconds() * 1000
-			sent = append(sent, fmt.Sprintf("n%d %.0f ms later", request.front, lateMS))
+			elapsedMS := attempt.ReceivedAt.Sub(after).Seconds() * 1000
+			sent = append(sent, fmt.Sprintf("n%d %.0f ms later", request.front, elapsedMS))
 		}
 	}
 	return sent
@@ -111,10 +111,10 @@
 // front end is down and others are cut off.
 type overrideScenario struct {
 	*Fleet
-	t      *testing.T
-	engine *fakes.Engine // taken out of service
-	down   *FrontEnd
-	cutOff map[int]bool
+	t           *testing.T
+	engine      *fakes.Engine // taken out of service
+	down        *FrontEnd
+	partitioned map[int]bool
 
 	acknowledgedAt time.Time
 	healedAt       time.Time
@@ -146,17 +146,17 @@
 	f := startConverged(t, Options{
 		Seed: *firstSeed, Size: size, Engines: 4, ClusterConfig: replicatedCluster, Mutant: mutant,
 	})
-	s := &overrideScenario{Fleet: f, t: t, engine: f.Engines[0], down: f.Fronts[1], cutOff: map[int]bool{}}
+	s := &overrideScenario{Fleet: f, t: t, engine: f.Engines[0], down: f.Fronts[1], partitioned: map[int]bool{}}
 	f.requireReplicated(t, *convergenceLimit)
 	stopClients := f.StartClients(6)
-	s.disturb(size)
+	s.injectFaults(size)
 	s.takeEngineOut()
 	time.Sleep(2 * time.Second)
 	f.Heal()
 	s.healedAt = time.Now()
 	f.Record("healed")
 	time.Sleep(2 * time.Second)
-	s.restartCutOff()
+	s.restartPartitioned()
 	f.requireReplicated(t, *convergenceLimit)
 	time.Sleep(overrideDelay)
 	stopClients()
@@ -164,12 +164,12 @@
 	return s
 }
 
-// disturb kills a front end and cuts a quarter of the others off.
-func (s *overrideScenario) disturb(size int) {
+// injectFaults kills a front end and cuts a quarter of the others off.
+func (s *overrideScenario) injectFaults(size int) {
 	s.Signal(s.down, syscall.SIGKILL)
 	var targets []int
 	for i := 2; i < 2+size/4; i++ {
-		s.cutOff[i] = true
+		s.partitioned[i] = true
 		targets = append(targets, i)
 	}
 	s.Partition(targets...)
@@ -188,9 +188,9 @@
 	}
 }
 
-// restartCutOff restarts the front end that is down, sends requests to it while it
+// restartPartitioned restarts the front end that is down, sends requests to it while it
 // is cut off and can't catch up, and heals the partition.
-func (s *overrideScenario) restartCutOff() {
+func (s *overrideScenario) restartPartitioned() {
 	s.t.Helper()
 	s.restartedAt = time.Now()
 	s.Partition(s.down.Index)
@@ -223,13 +223,13 @@
 	if sent := s.sentByRestarted(s.engine); len(sent) > 0 {
 		s.t.Errorf("the restarted front end sent %v", sent)
 	}
-	isReached := func(front int) bool { return !s.cutOff[front] && front != s.down.Index }
-	if late := s.sentTo(s.engine, s.acknowledgedAt.Add(overrideDelay+*slack), isReached); len(late) > 0 {
-		s.t.Errorf("sent too late after the acknowledgement: %v", late)
+	isReached := func(front int) bool { return !s.partitioned[front] && front != s.down.Index }
+	if sent := s.sentTo(s.engine, s.acknowledgedAt.Add(overrideDelay+*slack), isReached); len(sent) > 0 {
+		s.t.Errorf("sent too late after the acknowledgement: %v", sent)
 	}
-	isCutOff := func(front int) bool { return s.cutOff[front] }
-	if late := s.sentTo(s.engine, s.healedAt.Add(overrideDelay+*slack), isCutOff); len(late) > 0 {
-		s.t.Errorf("sent too late after the partition by those cut off: %v", late)
+	isPartitioned := func(front int) bool { return s.partitioned[front] }
+	if sent := s.sentTo(s.engine, s.healedAt.Add(overrideDelay+*slack), isPartitioned); len(sent) > 0 {
+		s.t.Errorf("sent too late after the partition by those cut off: %v", sent)
 	}
 	if len(s.sentByRestarted(s.Engines[1])) == 0 {
 		s.t.Error("the restarted front end sends nothing to other engines: the run proves nothing")
@@ -258,17 +258,17 @@
 	f.requireCall(t, f.Fronts[0], "engines/s-00/offline", 200)
 	f.requireCall(t, f.Fronts[0], "engines/s-99/offline", 404)
 	checkSecondProcessRefused(t, f, f.Fronts[0])
-	if state := f.requireReplicated(t, *convergenceLimit); !state.isOut("s-00") || state.Overrides != 1 {
+	if state := f.requireReplicated(t, *convergenceLimit); !state.isOutOfService("s-00") || state.Overrides != 1 {
 		t.Errorf("%+v", state)
 	}
 	writeOnBothSides(t, f)
 	f.Heal()
 	state := f.requireReplicated(t, 15*time.Second+*slack)
-	if !state.isOut("s-00") || !state.isOut("s-01") || len(state.Conflicts) != 1 || state.Conflicts[0].Engine != "s-00" {
+	if !state.isOutOfService("s-00") || !state.isOutOfService("s-01") || len(state.Conflicts) != 1 || state.Conflicts[0].Engine != "s-00" {
 		t.Errorf("after the partition: %+v", state)
 	}
 	f.requireCall(t, f.Fronts[2], "engines/s-00/online", 200)
-	if state := f.requireReplicated(t, *convergenceLimit); state.isOut("s-00") || len(state.Conflicts) != 0 {
+	if state := f.requireReplicated(t, *convergenceLimit); state.isOutOfService("s-00") || len(state.Conflicts) != 0 {
 		t.Errorf("after the conflict was resolved: %+v", state)
 	}
 	checkOverridesSurviveRestart(t, f)
@@ -303,7 +303,7 @@
 	// other side.
 	f.requireCall(t, minority, "engines/s-00/online", 503)
 	f.requireCall(t, minority, "engines/s-00/offline", 503)
-	if state, _ := f.Fronts[1].replicatedState(); state.isOut("s-00") || state.isOut("s-01") {
+	if state, _ := f.Fronts[1].replicatedState(); state.isOutOfService("s-00") || state.isOutOfService("s-01") {
 		t.Errorf("the majority received overrides of the minority: %+v", state)
 	}
 }
@@ -316,7 +316,7 @@
 	f.requireCall(t, outOfService, "out-of-service", 200)
 	f.KillAll()
 	f.StartAll()
-	if state := f.requireReplicated(t, *convergenceLimit); !state.isOut("s-01") || state.isOut("s-00") {
+	if state := f.requireReplicated(t, *convergenceLimit); !state.isOutOfService("s-01") || state.isOutOfService("s-00") {
 		t.Errorf("after all were killed: %+v", state)
 	}
 	testprocess.Until(t, f.Fronts[0].Name+" to be ready", f.Fronts[0].isReady)
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -8,14 +8,14 @@
 	"dewhill/internal/faultplan"
 )
 
-// untilHealedMS is longer than any test: a partition lasts until Heal.
-const untilHealedMS = 1e9
+// partitionDurationMS is longer than any test: a partition lasts until Heal.
+const partitionDurationMS = 1e9
 
-// Play injects the faults of a timeline and returns when the last has ended.
-func (f *Fleet) Play(timeline faultplan.Timeline) {
+// RunTimeline injects the faults of a timeline and returns when the last has ended.
+func (f *Fleet) RunTimeline(timeline faultplan.Timeline) {
 	f.t.Logf("%v", timeline)
 	startedAt := time.Now()
-	f.relays.playback.Store(&playback{timeline, startedAt})
+	f.relays.current.Store(&timelineRun{timeline, startedAt})
 	defer f.Heal()
 	var running sync.WaitGroup
 	for _, fault := range timeline.Faults {
@@ -70,9 +70,9 @@
 // Partition cuts some front ends off from the others until Heal. It replaces all
 // network faults.
 func (f *Fleet) Partition(targets ...int) {
-	fault := faultplan.Fault{Kind: faultplan.Partition, DurationMS: untilHealedMS, Targets: targets}
-	f.relays.playback.Store(&playback{faultplan.Timeline{Faults: []faultplan.Fault{fault}}, time.Now()})
+	fault := faultplan.Fault{Kind: faultplan.Partition, DurationMS: partitionDurationMS, Targets: targets}
+	f.relays.current.Store(&timelineRun{faultplan.Timeline{Faults: []faultplan.Fault{fault}}, time.Now()})
 }
 
 // Heal ends all network faults.
-func (f *Fleet) Heal() { f.relays.playback.Store(nil) }
+func (f *Fleet) Heal() { f.relays.current.Store(nil) }
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -27,23 +27,23 @@
 	sockets [][]*net.UDPConn // by sender and receiver
 	fronts  []netip.AddrPort
 
-	playback atomic.Pointer[playback] // nil: no faults
-	rngMu    sync.Mutex
-	rng      *rand.Rand
+	current atomic.Pointer[timelineRun] // nil: no faults
+	rngMu   sync.Mutex
+	rng     *rand.Rand
 
 	relayed   atomic.Int64 // datagrams
 	lost      atomic.Int64
 	receivers sync.WaitGroup
 }
 
-// playback is a timeline that runs since a time.
-type playback struct {
+// timelineRun is a timeline that runs since a time.
+type timelineRun struct {
 	timeline  faultplan.Timeline
 	startedAt time.Time
 }
 
 // nowMS returns the time in the timeline.
-func (p *playback) nowMS() float64 { return float64(time.Since(p.startedAt).Microseconds()) / 1000 }
+func (p *timelineRun) nowMS() float64 { return float64(time.Since(p.startedAt).Microseconds()) / 1000 }
 
 // newRelayNetwork opens the sockets between front ends, which will listen on the
 // given addresses.
@@ -105,7 +105,7 @@
 
 // deliveries returns the copies of a datagram that arrive.
 func (r *relayNetwork) deliveries(from, to int, message []byte) []faultplan.Delivery {
-	p := r.playback.Load()
+	p := r.current.Load()
 	if p == nil {
 		return []faultplan.Delivery{{Message: message}}
 	}
--- a/internal/faulttest/view.go
+++ b/internal/faulttest/view.go
@@ -84,8 +84,8 @@
 func (f *Fleet) stateMismatch(observer *FrontEnd, view *View) string {
 	for _, front := range f.Fronts {
 		state := view.state(front.Name)
-		heldAlive := state == "alive" || state == "suspect"
-		if running := front.Running(); running != heldAlive {
+		listedAlive := state == "alive" || state == "suspect"
+		if running := front.Running(); running != listedAlive {
 			return fmt.Sprintf("%s holds %s as %q; running: %v", observer.Name, front.Name, state, running)
 		}
 	}
--- a/internal/mysql/fleet_test.go
+++ b/internal/mysql/fleet_test.go
@@ -97,7 +97,7 @@
 	t.Helper()
 	f := startLoadFleet(t, options)
 	var faults sync.WaitGroup
-	faults.Go(func() { f.Play(options.faults) })
+	faults.Go(func() { f.RunTimeline(options.faults) })
 	f.sendLoads()
 	faults.Wait()
 	f.KillAll()
