--- a/deploy/compat_test.go
+++ b/deploy/compat_test.go
@@ -11,9 +11,10 @@
 	"dewhill/internal/subset"
 )
 
-// The platform reads deploy/balancer.toml: each of its keys has the value that it
-// had before names changed, save that the decisions lie in more files and
-// internal/timerheap has been split off.
+// TestCompatBalancer checks the value of each key of deploy/balancer.toml, which the
+// platform reads. The values are those before the renaming of packages and files, except
+// that the decisions are spread over more files and internal/timerheap is a package of its
+// own.
 func TestCompatBalancer(t *testing.T) {
 	want := balancer{
 		Build: "mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...",
@@ -34,10 +35,11 @@
 		Packages: []string{},
 	}
 	if b := load(t); !reflect.DeepEqual(b, want) {
-		t.Errorf("%+v, want %+v", b, want)
+		t.Errorf("deploy/balancer.toml: %+v, want %+v", b, want)
 	}
 }
 
+// shipped returns the text of a file in the deploy folder.
 func shipped(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root(t), "deploy", name))
@@ -47,27 +49,30 @@
 	return text
 }
 
-// setting is a line of a shipped file that sets a key or shows how, as a comment.
+// setting matches a line of a shipped file that sets a key, or that shows the setting as a
+// comment.
 var setting = regexp.MustCompile(`(?m)^(?:# )?([a-z_]+ = [^#\n]*?) *(?:#.*)?$`)
 
-// uncommented is a shipped file with all settings that it shows turned on.
+// uncommented returns a shipped file with all commented-out settings turned on.
 func uncommented(text []byte) []byte { return setting.ReplaceAll(text, []byte("$1")) }
 
-// Operators change deploy/fleet.toml at the line that it shows.
+// TestCompatFleet checks that deploy/fleet.toml is read as shipped, and after an operator
+// has turned on the setting that it shows.
 func TestCompatFleet(t *testing.T) {
 	text := shipped(t, "fleet.toml")
 	o, err := subset.ParseOptions("fleet.toml", text)
 	if err != nil || o.Size != subset.AutoSize {
-		t.Errorf("as shipped: %+v, %v", o, err)
+		t.Errorf("as shipped: %+v, error %v", o, err)
 	}
 	o, err = subset.ParseOptions("fleet.toml", uncommented(text))
 	if err != nil || o.Size != 6 {
-		t.Errorf("uncommented: %+v, %v", o, err)
+		t.Errorf("uncommented: %+v, error %v", o, err)
 	}
 }
 
-// Operators change deploy/group.toml at the lines that it shows; these are every
-// key that is read, with its default where it has one.
+// TestCompatGroup checks that deploy/group.toml is read as shipped, and after an operator
+// has turned on the settings that it shows. The file shows every key that is read, with
+// its default where it has one.
 func TestCompatGroup(t *testing.T) {
 	text := shipped(t, "group.toml")
 	want := cluster.Options{
@@ -82,14 +87,14 @@
 		Replication:         cluster.ReplicationOptions{WriteQuorum: "majority", ResendMS: 200, WriteTimeoutMS: 2000, CompareIntervalMS: 4000, CatchUpTimeoutMS: 5000, BytesPerSecond: 8192},
 	}
 	if o, err := cluster.ParseOptions("group.toml", text); err != nil || !reflect.DeepEqual(o, want) {
-		t.Errorf("as shipped: %+v, %v", o, err)
+		t.Errorf("as shipped: %+v, error %v", o, err)
 	}
 	o, err := cluster.ParseOptions("group.toml", uncommented(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(o.Seeds, []string{"10.0.0.4:7946"}) {
-		t.Errorf("seeds %q", o.Seeds)
+		t.Errorf("seeds %q, want 10.0.0.4:7946 alone", o.Seeds)
 	}
 	shown := regexp.MustCompile(`(?m)^[a-z_]+ = `).FindAll(uncommented(text), -1)
 	if len(shown) != 19 {
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,8 +1,9 @@
-// Package deploy_test checks the deploy file against the standing fleet test:
-// the build links externally with cgo on, the binary it leaves is linked
-// dynamically against the C library, run ends by exec in one process, the
-// decision files stay within their size, and the front end's code starts no
-// programs and touches no Unix sockets, splice, sendfile or io_uring.
+// Package deploy_test checks deploy/balancer.toml and the front end's sources against the
+// requirements of the platform's fleet test: the build links externally with cgo enabled,
+// the resulting binary is linked dynamically against the C library, the run command ends
+// with an exec of one process, the files with decisions stay within their size limit, and
+// the front end's code starts no programs and uses no Unix sockets, splice, sendfile or
+// io_uring.
 package deploy_test
 
 import (
@@ -19,10 +20,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// maxPolicyFileLines bounds the non-blank lines of each file under `policy`.
+// maxPolicyFileLines bounds the non-blank lines of each file that `policy` lists.
 const maxPolicyFileLines = 500
 
-// balancer is the shape of deploy/balancer.toml as the platform reads it.
+// balancer holds the keys of deploy/balancer.toml that the platform reads.
 type balancer struct {
 	Build    string   `toml:"build"`
 	Run      string   `toml:"run"`
@@ -32,6 +33,7 @@
 	Packages []string `toml:"packages"`
 }
 
+// root returns the repository's root directory.
 func root(t *testing.T) string {
 	t.Helper()
 	dir, err := filepath.Abs("..")
@@ -41,6 +43,7 @@
 	return dir
 }
 
+// load reads deploy/balancer.toml. Keys that the platform does not read are an error.
 func load(t *testing.T) balancer {
 	t.Helper()
 	var b balancer
@@ -54,6 +57,8 @@
 	return b
 }
 
+// TestDeployFileKeepsItsKeys checks that each required key has a value and that all files
+// and folders that the deploy file lists exist.
 func TestDeployFileKeepsItsKeys(t *testing.T) {
 	b := load(t)
 	for name, v := range map[string]string{"build": b.Build, "run": b.Run, "sim": b.Sim} {
@@ -71,42 +76,43 @@
 	}
 }
 
+// TestBuildLinksExternallyWithCgo checks the flags in the build command.
 func TestBuildLinksExternallyWithCgo(t *testing.T) {
 	b := load(t)
 	if !strings.Contains(b.Build, "-ldflags=-linkmode=external") {
 		t.Errorf("build %q does not link externally", b.Build)
 	}
 	if !strings.Contains(b.Build, "CGO_ENABLED=1") {
-		t.Errorf("build %q does not turn cgo on", b.Build)
+		t.Errorf("build %q does not enable cgo", b.Build)
 	}
 }
 
-// TestRunEndsByExecInOneProcess guards against a run line that leaves a shell
-// or a pipeline in front of the program: the bench counts one process.
+// TestRunEndsByExecInOneProcess guards against a run command that leaves a shell or a
+// pipeline running besides the program: the platform's fleet test expects one process.
 func TestRunEndsByExecInOneProcess(t *testing.T) {
 	b := load(t)
 	steps := strings.Split(b.Run, "&&")
 	last := strings.TrimSpace(steps[len(steps)-1])
 	if !strings.HasPrefix(last, "exec ") {
-		t.Fatalf("run %q does not end by exec", b.Run)
+		t.Fatalf("run %q does not end with exec", b.Run)
 	}
 	if strings.ContainsAny(last, "|&;") {
 		t.Fatalf("run %q starts more than one process at its end", b.Run)
 	}
 }
 
-// TestPolicyNamesTheDecisions checks that `policy` names every file of package
-// control, where the decisions lie, and that each is of a bounded size.
+// TestPolicyNamesTheDecisions checks that `policy` lists every file of package control,
+// which makes the decisions, and that each file is within the size limit.
 func TestPolicyNamesTheDecisions(t *testing.T) {
 	b := load(t)
 	for _, name := range b.Policy {
 		if lines := nonBlankLines(t, filepath.Join(root(t), name)); lines > maxPolicyFileLines {
-			t.Errorf("%s holds %d non-blank lines, more than %d", name, lines, maxPolicyFileLines)
+			t.Errorf("%s has %d non-blank lines, more than %d", name, lines, maxPolicyFileLines)
 		}
 	}
 	files := sourceFiles(t, filepath.Join(root(t), "control"))
 	if len(files) == 0 {
-		t.Fatal("no files of package control")
+		t.Fatal("package control has no source files")
 	}
 	for _, file := range files {
 		if name := "control/" + filepath.Base(file); !slices.Contains(b.Policy, name) {
@@ -130,7 +136,7 @@
 	return count
 }
 
-// sourceFiles lists the Go files of a directory, tests left out.
+// sourceFiles lists the Go files of a directory, without tests.
 func sourceFiles(t *testing.T, dir string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -140,8 +146,8 @@
 	return slices.DeleteFunc(files, func(file string) bool { return strings.HasSuffix(file, "_test.go") })
 }
 
-// frontEndFiles lists the Go files of our own packages that the front end is built
-// from. Libraries are left out.
+// frontEndFiles lists the Go files of this repository's packages that the front end is
+// built from. Files of libraries are not included.
 func frontEndFiles(t *testing.T) []string {
 	t.Helper()
 	format := "{{if not .Standard}}{{.Dir}}{{end}}"
@@ -156,13 +162,13 @@
 		}
 	}
 	if len(files) == 0 {
-		t.Fatal("no files of the front end")
+		t.Fatal("the front end has no source files")
 	}
 	return files
 }
 
-// TestDeployBuildLinksDynamically runs the deploy file's own build and reads
-// the binary it leaves: an interpreter and libc among the needed libraries.
+// TestDeployBuildLinksDynamically runs the deploy file's build command and checks that the
+// resulting binary has a program interpreter and needs libc.
 func TestDeployBuildLinksDynamically(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the program")
@@ -194,12 +200,13 @@
 	}
 }
 
-// refusedByTheBench matches what the fleet bench refuses in a front end. io.Copy onto a
-// TCP connection splices or sends a file.
+// refusedByTheBench matches the imports and calls that the platform's fleet test refuses
+// in a front end. io.Copy to a TCP connection may use splice or sendfile.
 var refusedByTheBench = regexp.MustCompile(`"os/exec"|io\.Copy(N|Buffer)?\(|syscall\.(ForkExec|Exec|Sendfile|Splice)|` +
 	`unix\.(Splice|Sendfile|IoUring)|"unix(gram|packet)?"|AF_UNIX|io_uring`)
 
-// TestFrontEndStartsNoProgramsAndNoUnixSockets reads the sources of the front end.
+// TestFrontEndStartsNoProgramsAndNoUnixSockets checks that the sources of the front end
+// have no refused imports or calls.
 func TestFrontEndStartsNoProgramsAndNoUnixSockets(t *testing.T) {
 	for _, file := range frontEndFiles(t) {
 		text, err := os.ReadFile(file)
@@ -207,16 +214,16 @@
 			t.Fatal(err)
 		}
 		if found := refusedByTheBench.Find(text); found != nil {
-			t.Errorf("%s uses %s, which the fleet bench refuses", file, found)
+			t.Errorf("%s uses %s, which the platform's fleet test refuses", file, found)
 		}
 	}
 }
 
-// TestNoDeploymentInTheProgram looks for names of deployments in the packages
-// that the front end is built from and in the deploy file: those of the sites
-// here, and those of the customer that the program was first written for. A word
-// that the protocol has too ("load") can't be told from a class's name here; that
-// no name decides anything, internal/simproto's test shows.
+// TestNoDeploymentInTheProgram checks that the packages that the front end is built from,
+// deploy/balancer.toml and deploy/mysql.json contain no names of a deployment: neither those
+// in deploy/sites nor those of the customer that the program was first written for. A class
+// name that is also a word of the protocol ("load") can't be detected here; a test of
+// internal/simproto checks that decisions depend on no name.
 func TestNoDeploymentInTheProgram(t *testing.T) {
 	names := append(siteNames(t), "lookup", "report", "std-8", "std-16", "sapporo", "billdesk", "barasat")
 	files := append(frontEndFiles(t), filepath.Join(root(t), "deploy/balancer.toml"), filepath.Join(root(t), "deploy/mysql.json"))
@@ -227,13 +234,13 @@
 		}
 		for _, name := range names {
 			if strings.Contains(string(text), strconv.Quote(name)) {
-				t.Errorf("%s names %q, which is a deployment's", file, name)
+				t.Errorf("%s contains %q, a name of a deployment", file, name)
 			}
 		}
 	}
 }
 
-// siteNames lists the names in the sites of our own.
+// siteNames lists the names that the files in deploy/sites define.
 func siteNames(t *testing.T) []string {
 	t.Helper()
 	sites, err := filepath.Glob(filepath.Join(root(t), "deploy/sites/*.toml"))
@@ -241,7 +248,7 @@
 		t.Fatal(err)
 	}
 	if len(sites) < 2 {
-		t.Fatalf("%d sites of our own", len(sites))
+		t.Fatalf("%d files in deploy/sites, want at least 2", len(sites))
 	}
 	var names []string
 	name := regexp.MustCompile(`(?m)^(?:name|zones) = \[?"(.*)"\]?$`)
--- a/internal/cmd/knownfailures/main.go
+++ b/internal/cmd/knownfailures/main.go
@@ -1,14 +1,14 @@
-// Knownfailures runs a test command and passes over the failures of tests that
-// KNOWN-RED.txt names: those that fail for a real fault that is not fixed yet. It prints
-// each of them. It fails if the file is malformed, names a test that does not exist or
-// more than three, or if anything else fails.
+// Knownfailures runs a test command and tolerates failures of the tests that
+// KNOWN-RED.txt names: tests that fail because of a real fault that is not fixed yet. It
+// prints each tolerated failure. It fails if the file is malformed, names a test that does
+// not exist, or names more than three tests, and if anything else in the run fails.
 //
-// A line of the file is PACKAGE.TEST, the cause and the issue, separated by " | ":
+// A line of the file holds PACKAGE.TEST, the cause and the issue, separated by " | ":
 //
 //	internal/httpfront.TestChunks | pages are counted twice | 26
 //
-// A package that does not build, panics or times out fails whatever the file says: it is
-// unknown what its other tests would do.
+// A package that does not build, panics or times out is always a failure, even if the file
+// names one of its tests, because the results of its other tests are unknown.
 package main
 
 import (
@@ -40,8 +40,8 @@
 	}
 }
 
-// readKnownFailures returns the tests that the file names, with cause and issue; none if there is no
-// file.
+// readKnownFailures returns the cause and issue of each test that the file names, by test.
+// It returns nil if the file does not exist.
 func readKnownFailures(path string) (map[string]string, error) {
 	data, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
@@ -54,10 +54,10 @@
 	for k, line := range strings.Split(strings.TrimSuffix(string(data), "\n"), "\n") {
 		parts := strings.Split(line, " | ")
 		if len(parts) != 3 || strings.TrimSpace(parts[1]) == "" {
-			return nil, fmt.Errorf("%s:%d: not PACKAGE.TEST | cause | issue", path, k+1)
+			return nil, fmt.Errorf("%s:%d: not PACKAGE.TEST | cause | issue: %q", path, k+1, line)
 		}
 		if _, err := strconv.Atoi(parts[2]); err != nil {
-			return nil, fmt.Errorf("%s:%d: issue %q is no number", path, k+1, parts[2])
+			return nil, fmt.Errorf("%s:%d: issue %q is not a number", path, k+1, parts[2])
 		}
 		if known[parts[0]] != "" {
 			return nil, fmt.Errorf("%s:%d: %s is named twice", path, k+1, parts[0])
@@ -73,7 +73,7 @@
 	return known, nil
 }
 
-// testExists reports whether a package below root has a test.
+// testExists reports whether the test PACKAGE.TEST exists in a package below root.
 func testExists(root, name string) bool {
 	dir, test, ok := strings.Cut(name, ".")
 	if !ok || !strings.HasPrefix(test, "Test") {
@@ -88,7 +88,8 @@
 	return false
 }
 
-// run runs the command, copies its output, and classifies its failures.
+// run runs the test command, copies its output to standard output, and returns an error if
+// anything but the known tests fails.
 func run(args []string, known map[string]string) error {
 	if len(args) == 0 {
 		return fmt.Errorf("no test command")
@@ -121,8 +122,8 @@
 	packageResultLine = regexp.MustCompile(`^(?:FAIL|ok  )\t` + module + `(\S+)`)
 )
 
-// classify reads a test run's output and returns the known tests that failed, and an error
-// that names what else failed.
+// classify reads the output of a test run and returns the known tests that failed, and an
+// error that names all other failures.
 func classify(out io.Reader, known map[string]string) (knownFailures []string, unexpected error) {
 	var failedTests, unknownFailures []string
 	lines := bufio.NewScanner(out)
--- a/internal/cmd/knownfailures/main_test.go
+++ b/internal/cmd/knownfailures/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestClassify checks that only what the file names is passed over.
+// TestClassify checks that only failures of known tests are tolerated.
 func TestClassify(t *testing.T) {
 	known := map[string]string{"internal/a.TestRed": "why"}
 	const red = "--- FAIL: TestRed (0.1s)\n    --- FAIL: TestRed/sub (0.1s)\nFAIL\nFAIL\tdewhill/internal/a\t0.2s\n"
@@ -23,7 +23,7 @@
 	} {
 		_, err := classify(strings.NewReader(out), known)
 		if got := strings.TrimPrefix(errText(err), "failed and not known: "); got != want {
-			t.Errorf("%q: %q, want %q", out, got, want)
+			t.Errorf("output %q: error %q, want %q", out, got, want)
 		}
 	}
 }
@@ -35,7 +35,7 @@
 	return err.Error()
 }
 
-// TestReadKnownFailures checks that a malformed file is an error that names the line.
+// TestReadKnownFailures checks that a malformed file gives an error that names the line.
 func TestReadKnownFailures(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "a_test.go"), []byte("package a\nfunc TestA(t *testing.T) {\nfunc TestB(t *testing.T) {\n"+
@@ -58,10 +58,10 @@
 			t.Fatal(err)
 		}
 		if _, err := readKnownFailures(path); !strings.Contains(errText(err), want) || want == "" && err != nil {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("file %q: error %v, want %q", text, err, want)
 		}
 	}
 	if known, err := readKnownFailures(filepath.Join(dir, "none")); known != nil || err != nil {
-		t.Errorf("no file: %v, %v", known, err)
+		t.Errorf("no file: tests %v, error %v, want neither", known, err)
 	}
 }
--- a/internal/faultplan/deliver.go
+++ b/internal/faultplan/deliver.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// maxDuplicateDelayMS is by how much the copy of a duplicated datagram is late.
+// maxDuplicateDelayMS bounds the delay of the second copy of a duplicated datagram.
 const maxDuplicateDelayMS = 50
 
-// Delivery is one copy of a datagram as it arrives.
+// Delivery is one copy of a datagram that reaches its receiver.
 type Delivery struct {
 	DelayMS float64
 	Message []byte
 }
 
-// Deliver returns the copies of a datagram, sent at a time between two processes,
-// that arrive; none if it is lost. The message is not modified.
+// Deliver returns the copies that arrive of a datagram that one process sends to
+// another at nowMS, or nil if the datagram is lost. It does not modify the message.
 func (t Timeline) Deliver(rng *rand.Rand, nowMS float64, from, to int, message []byte) []Delivery {
 	copies := []Delivery{{Message: message}}
 	for i := range t.Faults {
@@ -43,8 +43,8 @@
 	return copies
 }
 
-// drops reports whether the fault, which is active, drops a datagram. selected: the
-// datagram is one of those that the fault's rate selects.
+// drops reports whether the fault, which is active, drops a datagram. selected tells
+// whether the random draw by the fault's rate selected this datagram.
 func (f *Fault) drops(from, to int, selected bool) bool {
 	fromTarget := slices.Contains(f.Targets, from)
 	toTarget := slices.Contains(f.Targets, to)
@@ -62,7 +62,7 @@
 	}
 }
 
-// corrupted returns a copy of a message that is cut, or has one byte changed.
+// corrupted returns a copy of a message that is truncated or has one byte changed.
 func corrupted(rng *rand.Rand, message []byte) []byte {
 	const corruptionsPerCut = 4
 	damaged := slices.Clone(message)
--- a/internal/faultplan/faultplan.go
+++ b/internal/faultplan/faultplan.go
@@ -1,12 +1,12 @@
-// Package faultplan draws timelines of faults from a seed and determines what each
-// does to processes and to the datagrams between them. The same timeline runs on
-// real processes (internal/faulttest) and on the pure packages over a simulated
-// network (internal/membershipsim). The package reads no clock: times are ms from
-// the start of a timeline.
+// Package faultplan generates timelines of faults from a seed and defines the effect
+// of each fault on processes and on the datagrams between them. The same timeline
+// runs on real processes (internal/faulttest) and on packages without I/O over a
+// simulated network (internal/membershipsim). The package reads no clock: times are
+// in ms from the start of a timeline.
 //
 //   - faultplan.go: faults and timelines
 //   - generate.go: random timelines
-//   - deliver.go: the effect on a datagram
+//   - deliver.go: the effect of a timeline on a datagram
 package faultplan
 
 import (
@@ -17,19 +17,19 @@
 // Kind is the kind of a fault.
 type Kind int
 
-// The kinds of faults. Those of the network come before those of processes.
+// The kinds of faults: network faults come first, then process faults.
 const (
-	PacketLoss        Kind = iota // Rate of the datagrams is lost
+	PacketLoss        Kind = iota // a fraction, Rate, of the datagrams is lost
 	PacketDelay                   // each datagram is delayed by up to DelayMS
-	PacketDuplication             // Rate of the datagrams arrives twice
-	PacketReordering              // Rate of the datagrams is delayed by DelayMS, so that others overtake them
-	PacketCorruption              // Rate of the datagrams has a byte changed or is cut
-	OneWayPartition               // nothing from Targets reaches the others
-	Partition                     // nothing passes between Targets and the others
-	PairPartition                 // nothing passes between the two Targets
-	ProcessKill                   // SIGKILL, and a new process at the end
-	ProcessPause                  // SIGSTOP, and SIGCONT at the end
-	ProcessTerminate              // SIGTERM, and a new process at the end
+	PacketDuplication             // a fraction, Rate, of the datagrams arrives twice
+	PacketReordering              // a fraction, Rate, is delayed by DelayMS, so that later datagrams overtake it
+	PacketCorruption              // a fraction, Rate, of the datagrams has a byte changed or is truncated
+	OneWayPartition               // no datagram from Targets reaches the other processes
+	Partition                     // no datagram passes between Targets and the other processes
+	PairPartition                 // no datagram passes between the two Targets
+	ProcessKill                   // SIGKILL, and a new process when the fault ends
+	ProcessPause                  // SIGSTOP, and SIGCONT when the fault ends
+	ProcessTerminate              // SIGTERM, and a new process when the fault ends
 	MassKill                      // ProcessKill of most processes at once
 	kindCount         = iota
 )
@@ -56,25 +56,25 @@
 	return names[k]
 }
 
-// IsProcessFault reports whether the fault is one of processes, not of the
-// network.
+// IsProcessFault reports whether faults of this kind affect processes rather than
+// the network.
 func (k Kind) IsProcessFault() bool { return k >= ProcessKill }
 
-// hasTargets reports whether the fault is one of certain processes, or of the
+// hasTargets reports whether faults of this kind affect certain processes or the
 // network around them.
 func (k Kind) hasTargets() bool { return k >= OneWayPartition }
 
-// Fault is one fault: from StartMS on, for DurationMS.
+// Fault is a fault that is in effect from StartMS on, for DurationMS.
 type Fault struct {
 	Kind       Kind
 	StartMS    float64
 	DurationMS float64
-	Targets    []int   // processes
+	Targets    []int   // indexes of processes
 	Rate       float64 // fraction of the datagrams that are affected
 	DelayMS    float64
 }
 
-// isActive reports whether the fault is in effect.
+// isActive reports whether the fault is in effect at nowMS.
 func (f *Fault) isActive(nowMS float64) bool {
 	return nowMS >= f.StartMS && nowMS < f.StartMS+f.DurationMS
 }
@@ -94,7 +94,7 @@
 	return s
 }
 
-// Timeline is a list of faults in the order of their starts.
+// Timeline is a list of faults, ordered by their start.
 type Timeline struct {
 	Seed   uint64
 	Size   int // number of processes
@@ -111,7 +111,7 @@
 	return b.String()
 }
 
-// End returns when the last fault ends.
+// End returns the time at which the last fault ends, in ms.
 func (t Timeline) End() float64 {
 	end := 0.0
 	for _, f := range t.Faults {
--- a/internal/faultplan/generate.go
+++ b/internal/faultplan/generate.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
+// rngStream separates the random numbers of timelines from others of the same seed.
 const rngStream = 0x6661756c
 
-// uniform draws a number from low up to low + width.
+// uniform draws a number from low up to, but not including, low + width.
 func uniform(rng *rand.Rand, low, width float64) float64 { return low + width*rng.Float64() }
 
-// Generate draws faults for a fleet of size processes, all of which end within
-// durationMS. A process has at most one fault of its own, so that each can end by
-// itself; a fault of which no target is left is dropped.
+// Generate draws faults for a fleet of size processes. All faults end within
+// durationMS. A process has at most one process fault, so that the end of each fault
+// does not depend on another; a process fault without a remaining target is dropped.
 func Generate(seed uint64, size, faults int, durationMS float64) Timeline {
 	rng := rand.New(rand.NewPCG(seed, rngStream))
 	t := Timeline{Seed: seed, Size: size}
@@ -40,7 +41,7 @@
 	f.DurationMS = durationMS * uniform(rng, 0.1, 0.2)
 	f.StartMS = (durationMS - f.DurationMS) * rng.Float64()
 	shuffled := rng.Perm(size)
-	// upTo returns a random number of processes, a fraction of the fleet at most.
+	// upTo returns at least one random process, and at most size/divisor of them.
 	upTo := func(divisor int) []int { return shuffled[:1+rng.IntN(max(1, size/divisor))] }
 	switch f.Kind {
 	case PacketLoss:
