--- a/internal/faulttest/benchmark_test.go
+++ b/internal/faulttest/benchmark_test.go
@@ -11,11 +11,12 @@
 	"dewhill/internal/fakes"
 )
 
-// startupTime passes before a benchmark, so that the start counts for no request.
+// startupTime is waited for before the measurement, so that the processor time of the
+// start is not attributed to requests.
 const startupTime = 3 * time.Second
 
-// BenchmarkRequest measures the processor time of a request in a fleet of 16,
-// without and with membership.
+// BenchmarkRequest measures the processor time that a front end uses per request in a
+// fleet of 16 front ends, without and with membership.
 func BenchmarkRequest(b *testing.B) {
 	cases := []struct{ name, config string }{
 		{"false", "on = false\n"},
@@ -31,7 +32,8 @@
 	}
 }
 
-// benchmarkRequests sends requests to a front end, one after another.
+// benchmarkRequests sends requests to a front end, one after another, and reports the
+// processor time per request.
 func benchmarkRequests(b *testing.B, front *FrontEnd) {
 	b.Helper()
 	conn, err := net.Dial("tcp", front.Addr)
--- a/internal/faulttest/clients.go
+++ b/internal/faulttest/clients.go
@@ -14,38 +14,38 @@
 	"dewhill/internal/fakes"
 )
 
-// The classes of requests in settingsFormat.
+// The classes of the clients' requests, as fakes.Settings defines them.
 const (
 	lookupClass = "lookup"
 	loadClass   = "load"
 )
 
 const (
-	requestsPerLoad    = 3 // requests of a client of which one is a load
+	requestsPerLoad    = 3 // one request of a client in this many is a load
 	minRequestInterval = 5 * time.Millisecond
 	requestJitterMS    = 20
 	responseTimeout    = 8 * time.Second
-	// duplicateResponseTimeout is for how long a client looks for a second answer, which
-	// must not come.
+	// duplicateResponseTimeout is how long a client waits for a second response, which must
+	// not arrive.
 	duplicateResponseTimeout = 100 * time.Millisecond
 )
 
-// newRequest returns a client's request of a class with an ID.
+// newRequest returns a request of a class with an ID.
 func newRequest(class, id string) fakes.Request {
 	return fakes.Request{Class: class, ID: id, Timeout: 3 * time.Second, WorkMS: 20, Statement: "q"}
 }
 
-// clientRequest is a client's request and what became of it.
+// clientRequest is a client's request and the responses to it.
 type clientRequest struct {
 	class     string
 	front     int // index of the front end
 	responses int
-	status    int // of the last answer
+	status    int // of the last response
 }
 
-// StartClients starts clients that send requests, each to a front end drawn by the
-// seed. One in three is a load, which is never sent again: a client without an
-// answer leaves it. The function returned stops the clients and waits for them.
+// StartClients starts n clients that send requests, each to a front end that is drawn
+// from the seed. One request in three is a load. Clients never retry a request that was
+// not answered. The returned function stops the clients and waits for them.
 func (f *Fleet) StartClients(n int) (stop func()) {
 	stopped := make(chan struct{})
 	var clients sync.WaitGroup
@@ -77,8 +77,8 @@
 	}
 }
 
-// sendRequest sends a request on a connection of its own and reads answers until
-// the connection ends.
+// sendRequest sends a request on a connection of its own and reads responses until the
+// connection is closed or no further response arrives in time.
 func (f *Fleet) sendRequest(front *FrontEnd, id, class string) {
 	request := &clientRequest{class: class, front: front.Index}
 	f.mu.Lock()
@@ -114,22 +114,22 @@
 	}
 }
 
-// isPollPath reports whether an answer is the path to poll for the result, which
-// these clients don't wait for.
+// isPollPath reports whether a response only holds the path to poll for the result.
+// These clients do not poll.
 func isPollPath(body string) bool {
 	return strings.Contains(body, `"poll"`) && !strings.Contains(body, `"page"`)
 }
 
-// ClientResults are what clients and engines have recorded.
+// ClientResults summarizes what clients and engines have recorded.
 type ClientResults struct {
-	Answered   int      // requests with an answer
-	Served     int      // requests with a result
-	Violations []string // of what must hold under all faults
+	Answered   int      // requests with a response
+	Served     int      // requests with status 200
+	Violations []string // broken rules that must hold under all faults
 }
 
-// ClientResults checks the clients' and engines' records: a load is sent to at most
-// one engine, once, a request has at most one answer, and an engine receives only
-// what a client sent.
+// ClientResults checks the records of clients and engines: a load is sent at most once,
+// to one engine; a request has at most one response; and engines receive only requests
+// that a client sent.
 func (f *Fleet) ClientResults() ClientResults {
 	enginesByID := map[string][]string{}
 	for _, engine := range f.Engines {
@@ -146,10 +146,10 @@
 	for _, id := range f.requestOrder {
 		request := f.requests[id]
 		if request.responses > 1 {
-			violate("%s %s has %d answers", request.class, id, request.responses)
+			violate("%s %s has %d responses", request.class, id, request.responses)
 		}
 		if request.class == loadClass && len(enginesByID[id]) > 1 {
-			violate("load %s of n%d was sent to %v", id, request.front, enginesByID[id])
+			violate("load %s of n%d was sent more than once, to %v", id, request.front, enginesByID[id])
 		}
 		if request.responses > 0 {
 			results.Answered++
@@ -160,7 +160,7 @@
 	}
 	for id := range enginesByID {
 		if f.requests[id] == nil {
-			violate("an engine received %s, which no client sent", id)
+			violate("an engine received request %s, which no client sent", id)
 		}
 	}
 	slices.Sort(results.Violations)
--- a/internal/faulttest/config.go
+++ b/internal/faulttest/config.go
@@ -11,10 +11,10 @@
 	"dewhill/internal/testprocess"
 )
 
-// deadlineMS bounds a client's request.
+// deadlineMS bounds the duration of a client's request.
 const deadlineMS = 4000
 
-// newFrontEnd writes the configuration of a front end.
+// newFrontEnd returns a front end that is not running yet, and writes its configuration.
 func (f *Fleet) newFrontEnd(index int, peerAddrs []netip.AddrPort) *FrontEnd {
 	f.t.Helper()
 	front := &FrontEnd{
@@ -48,8 +48,8 @@
 	return front
 }
 
-// configuredPeers returns the addresses at which a front end finds the others; none
-// where they join by seeds.
+// configuredPeers returns the addresses at which a front end reaches the front ends of the
+// fleet, by index, or nil if front ends join by seeds.
 func (f *Fleet) configuredPeers(index int) []string {
 	if f.options.SeedCount > 0 {
 		return nil
--- a/internal/faulttest/fleet.go
+++ b/internal/faulttest/fleet.go
@@ -1,17 +1,17 @@
-// Package faulttest starts a fleet of real processes of the program on loopback,
-// with fakes of engines and discovery, and injects faults into processes and the
-// network between them on a timeline (internal/faultplan). It records what happens
-// and prints the seed and the history when a test fails.
+// Package faulttest starts a fleet of front-end processes on loopback, with fake engines
+// and a fake discovery service, and injects faults into the processes and the network
+// between them on a timeline (internal/faultplan). It records all events and prints the
+// seed and the history when a test fails.
 //
-// Every front end has an address of its own in 127.0.0.0/8, and a relay carries the
-// datagrams of each directed pair of them.
+// Every front end has an address of its own in 127.0.0.0/8, and a relay forwards the
+// datagrams of each directed pair of front ends.
 //
 //   - fleet.go: the fleet and its processes
 //   - config.go: the configuration files of a front end
 //   - relay.go: the network between front ends
-//   - play.go: faults on a timeline
-//   - view.go: the front ends' views, by the operators' API
-//   - clients.go: clients' requests and what must hold for them
+//   - play.go: injecting the faults of a timeline
+//   - view.go: the front ends' views of the fleet, read by the operators' API
+//   - clients.go: clients' requests and the rules that must hold for them
 package faulttest
 
 import (
@@ -29,7 +29,7 @@
 	"dewhill/internal/testprocess"
 )
 
-// engineDuration is how long a fake engine takes for a request.
+// engineDuration is how long a fake engine works on a request.
 const engineDuration = 5 * time.Millisecond
 
 // Options describe a fleet.
@@ -37,21 +37,23 @@
 	Seed          uint64
 	Size          int // front ends
 	Engines       int
-	ClusterConfig string                   // the text of group.toml
-	Mutant        *mutanttest.Mutant       // the program without a guard; nil: the program as it is
-	SeedCount     int                      // > 0: no configured peers, the first so many front ends are seeds, and no relays
-	Durable       bool                     // each front end has a state directory
-	Args          func(index int) []string // further arguments of the program; nil: none
+	ClusterConfig string             // the text of group.toml
+	Mutant        *mutanttest.Mutant // a program with a guard removed; nil: the unmodified program
+	// SeedCount is the number of seeds, which are the first front ends. If it is above 0,
+	// front ends have no configured peers and use no relays.
+	SeedCount int
+	Durable   bool                     // each front end has a state directory
+	Args      func(index int) []string // further arguments of the program; nil: none
 }
 
-// FrontEnd is a front end. Its process may end and start again; its name and
-// addresses stay.
+// FrontEnd is a front end of the fleet. Its name and addresses stay the same when its
+// process ends and is started again.
 type FrontEnd struct {
 	Index       int
 	Name        string
 	Addr        string // for clients
 	ControlAddr string // for operators
-	StateDir    string // empty: none
+	StateDir    string // empty: no state directory
 	configPath  string
 	clusterPath string // of group.toml
 	tempDir     string
@@ -77,8 +79,8 @@
 	requestOrder []string                  // IDs
 }
 
-// Start starts a fleet and returns when all front ends are ready. It ends with the
-// test.
+// Start starts a fleet and returns when all front ends are ready. The fleet is stopped
+// when the test ends.
 func Start(t testing.TB, options Options) *Fleet {
 	t.Helper()
 	if options.Args == nil {
@@ -112,7 +114,7 @@
 	return f
 }
 
-// startEngines starts the fake engines, and discovery, which lists them.
+// startEngines starts the fake engines and the fake discovery service that lists them.
 func (f *Fleet) startEngines() {
 	f.t.Helper()
 	var endpoints []fakes.Endpoint
@@ -126,7 +128,7 @@
 	f.Discovery = fakes.NewDiscovery(f.t, endpoints)
 }
 
-// freeUDPAddr returns an address with a port that is free.
+// freeUDPAddr returns an address with an unused UDP port.
 func freeUDPAddr(t testing.TB, ip net.IP) netip.AddrPort {
 	t.Helper()
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: ip})
@@ -145,7 +147,7 @@
 	f.history = append(f.history, fmt.Sprintf("%8.3f s  %s", elapsed, fmt.Sprintf(format, args...)))
 }
 
-// History returns what has been recorded, an event a line.
+// History returns the recorded events, one per line.
 func (f *Fleet) History() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -159,21 +161,21 @@
 	if front.process != nil {
 		return
 	}
-	f.Record("%s is started", front.Name)
+	f.Record("%s: process started", front.Name)
 	environment := fakes.ProgramEnvironment(front.configPath, "", front.tempDir)
 	args := append([]string{"-group", front.clusterPath}, f.options.Args(front.Index)...)
 	front.process = testprocess.StartMutant(f.t, f.options.Mutant, environment, args...)
 }
 
-// Signal sends a signal to a front end's process, if it is running. SIGKILL and
-// SIGTERM end the process.
+// Signal sends a signal to a front end's process, if it is running. After SIGKILL and
+// SIGTERM it waits until the process has ended.
 func (f *Fleet) Signal(front *FrontEnd, signal syscall.Signal) {
 	front.mu.Lock()
 	defer front.mu.Unlock()
 	if front.process == nil {
 		return
 	}
-	f.Record("%s gets %v", front.Name, signal)
+	f.Record("%s: signal %v", front.Name, signal)
 	front.process.Signal(signal)
 	if signal == syscall.SIGKILL || signal == syscall.SIGTERM {
 		front.process.Wait()
@@ -181,7 +183,7 @@
 	}
 }
 
-// KillAll ends the processes of all front ends.
+// KillAll kills the processes of all front ends.
 func (f *Fleet) KillAll() {
 	for _, front := range f.Fronts {
 		f.Signal(front, syscall.SIGKILL)
@@ -195,14 +197,14 @@
 	}
 }
 
-// Running reports whether the front end has a process.
+// Running reports whether the front end has a process, which may be paused.
 func (fe *FrontEnd) Running() bool {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
 	return fe.process != nil
 }
 
-// Log returns what the front end's process has logged; empty: it is not running.
+// Log returns the log of the front end's process, or an empty string if it is not running.
 func (fe *FrontEnd) Log() string {
 	fe.mu.Lock()
 	defer fe.mu.Unlock()
--- a/internal/faulttest/fleet_test.go
+++ b/internal/faulttest/fleet_test.go
@@ -21,18 +21,19 @@
 	convergenceLimit = flag.Duration("settle", 60*time.Second, "time after the last fault within which all views converge")
 )
 
-// minServed is how many requests a run must have served to prove anything.
+// minServed is the number of served requests below which a run is not meaningful.
 const minServed = 20
 
 // fastCluster is a cluster configuration with short intervals.
 const fastCluster = "on = true\nperiod_ms = 200\nretry_ms = 60\nsuspect_min_ms = 400\nsuspect_max_ms = 800\n" +
 	"reconnect_ms = 400\ndatagrams_per_second = 15\n"
 
-// requireConvergence fails the test unless all views converge on the truth.
+// requireConvergence fails the test unless all views converge on the processes that are
+// running. The words of when follow "views have not converged" in the message.
 func (f *Fleet) requireConvergence(t *testing.T, when string) {
 	t.Helper()
 	if took, ok := f.AwaitConvergence(*convergenceLimit); !ok {
-		t.Fatalf("seed %d: views have not converged %s, in %v", f.options.Seed, when, took)
+		t.Fatalf("seed %d: views have not converged %s within %v", f.options.Seed, when, took)
 	}
 }
 
@@ -44,22 +45,22 @@
 	return f
 }
 
-// checkClients fails the test if a rule was violated, or too few requests served.
+// checkClients fails the test if a rule was violated or too few requests were served.
 func (f *Fleet) checkClients(t *testing.T) ClientResults {
 	t.Helper()
 	results := f.ClientResults()
 	if len(results.Violations) > 0 {
-		t.Errorf("seed %d: %d violations, first %s", f.options.Seed, len(results.Violations), results.Violations[0])
+		t.Errorf("seed %d: %d violations, the first: %s", f.options.Seed, len(results.Violations), results.Violations[0])
 	}
 	if results.Served < minServed {
-		t.Errorf("seed %d: only %d requests were served: the run proves nothing", f.options.Seed, results.Served)
+		t.Errorf("seed %d: only %d requests were served: the run is not meaningful", f.options.Seed, results.Served)
 	}
 	return results
 }
 
-// TestViewsConvergeAfterFaults runs timelines of crashes, pauses, partitions and
-// corrupted datagrams under clients' load: afterwards all views converge on the
-// truth, and no client's request violated a rule.
+// TestViewsConvergeAfterFaults runs timelines of crashes, pauses, partitions and corrupted
+// datagrams while clients send requests. It checks that all views converge on the running
+// processes afterwards, and that no client's request violated a rule.
 func TestViewsConvergeAfterFaults(t *testing.T) {
 	for k := range *timelineCount {
 		seed := *firstSeed + uint64(k)
@@ -78,7 +79,8 @@
 	}
 }
 
-// withoutRefutation is a program in which no front end refutes its own death.
+// withoutRefutation is a program in which no front end refutes an update that lists it as
+// dead.
 var withoutRefutation = mutanttest.Mutant{
 	Name: "without refutation",
 	File: "internal/membership/suspicion.go",
@@ -86,8 +88,8 @@
 	New:  "if true || v.leaving || !overrides(",
 }
 
-// pauseUntilDead pauses a front end until another holds it dead, resumes it, and
-// reports whether all views converge within a limit.
+// pauseUntilDead pauses a front end until the observer lists it as dead, resumes it, and
+// reports whether all views converge within the limit.
 func (f *Fleet) pauseUntilDead(t *testing.T, paused, observer *FrontEnd, limit time.Duration) (converged bool) {
 	t.Helper()
 	f.Signal(paused, syscall.SIGSTOP)
@@ -97,7 +99,7 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("a paused front end is never held dead")
+			t.Fatalf("%s does not list the paused %s as dead within %v", observer.Name, paused.Name, *convergenceLimit)
 		}
 		time.Sleep(viewPollInterval)
 	}
@@ -106,8 +108,9 @@
 	return converged
 }
 
-// TestPausedFrontEndIsAliveAgain pauses a front end until it is held dead: it is alive
-// again to all after it is resumed. Without refutation it is not.
+// TestPausedFrontEndIsAliveAgain pauses a front end until it is listed as dead, and checks
+// that all views list it as alive after it is resumed. A program without refutation must
+// fail this check.
 func TestPausedFrontEndIsAliveAgain(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -129,10 +132,11 @@
 	}
 }
 
-// TestJoinBySeeds starts a fleet without configured peers, with two seeds: all
-// front ends join, also after the seeds were restarted. With a state directory, a
-// restarted front end begins above its last incarnation even if nobody is left that
-// knows it.
+// TestJoinBySeeds checks that all front ends of a fleet with two seeds and no configured
+// peers join, also after the seeds were restarted. With a state directory, a restarted
+// front end must begin above its last incarnation, even if all front ends were restarted,
+// so that no other can report that incarnation to it. A front end must not start with the
+// state directory of another.
 func TestJoinBySeeds(t *testing.T) {
 	const seedCount = 2
 	f := startConverged(t, Options{
@@ -140,7 +144,7 @@
 	})
 	view, _ := f.Fronts[0].View()
 	if !view.Quorum || len(view.Members) != 6 {
-		t.Errorf("%+v", view)
+		t.Errorf("view %+v, want a quorum and 6 members", view)
 	}
 	seeds := f.Fronts[:seedCount]
 	for _, front := range seeds {
@@ -153,20 +157,20 @@
 	f.requireConvergence(t, "after the restart of the seeds")
 	f.KillAll()
 	f.StartAll()
-	f.requireConvergence(t, "after the restart of all")
+	f.requireConvergence(t, "after the restart of all front ends")
 	for i, front := range f.Fronts {
 		last := uint32(1)
 		if i < seedCount {
 			last = 2 // restarted once before
 		}
 		if view, ok := front.View(); !ok || view.Incarnation <= last {
-			t.Errorf("%s began at incarnation %d, after %d", front.Name, view.Incarnation, last)
+			t.Errorf("%s began at incarnation %d, want more than %d", front.Name, view.Incarnation, last)
 		}
 	}
 	checkOtherStateDirRefused(t, f)
 }
 
-// checkOtherStateDirRefused starts n1 with the state directory of n0.
+// checkOtherStateDirRefused checks that n1 refuses to start with the state directory of n0.
 func checkOtherStateDirRefused(t *testing.T, f *Fleet) {
 	t.Helper()
 	owner, other := f.Fronts[0], f.Fronts[1]
@@ -177,6 +181,6 @@
 	f.StartProcess(other)
 	exitCode := other.process.Wait()
 	if log := other.Log(); exitCode != 1 || !strings.Contains(log, `belongs to another front end: "n0"`) {
-		t.Errorf("with the state directory of another, exit code %d: %s", exitCode, log)
+		t.Errorf("with the state directory of another front end: exit code %d, log %s", exitCode, log)
 	}
 }
--- a/internal/faulttest/overrides_test.go
+++ b/internal/faulttest/overrides_test.go
@@ -18,13 +18,13 @@
 
 const replicatedCluster = fastCluster + "[replica]\non = true\n"
 
-// overrideDelay is within which an acknowledged override has effect on all front
-// ends that it can reach.
+// overrideDelay is the time within which an acknowledged override takes effect on all
+// front ends that it can reach.
 const overrideDelay = 500 * time.Millisecond
 
-var slack = flag.Duration("slack", 2*time.Second, "added to the program's own delays, for a busy machine")
+var slack = flag.Duration("slack", 2*time.Second, "added to the program's own delays, to allow for a busy host")
 
-// replicatedState is a front end's replicated state, by the operators' API.
+// replicatedState is a front end's replicated state, as the operators' API returns it.
 type replicatedState struct {
 	Digest     string
 	Overrides  int  `json:"entries"`
@@ -33,7 +33,8 @@
 	EnginesOut []struct{ Engine string } `json:"engines_out"`
 }
 
-// replicatedState returns the front end's state; false: it does not answer.
+// replicatedState returns the front end's replicated state, and false if the front end did
+// not respond.
 func (fe *FrontEnd) replicatedState() (replicatedState, bool) {
 	var state replicatedState
 	status, body := Call(fe.ControlAddr, "GET", "state")
@@ -50,8 +51,8 @@
 	return false
 }
 
-// replicationMismatch describes why the front ends' states are not equal and caught up;
-// empty: they are, and the state is the last one's.
+// replicationMismatch describes why the states of the running front ends are not equal and
+// caught up. It returns an empty string if they are, and the state of the last front end.
 func (f *Fleet) replicationMismatch() (last replicatedState, mismatch string) {
 	for i, front := range f.Fronts {
 		if !front.Running() {
@@ -60,15 +61,15 @@
 		state, answered := front.replicatedState()
 		differs := i > 0 && last.Digest != "" && state.Digest != last.Digest
 		if !answered || !state.CaughtUp || differs {
-			mismatch = fmt.Sprintf("%s: %+v, others %+v", front.Name, state, last)
+			mismatch = fmt.Sprintf("%s: %+v, front end before it: %+v", front.Name, state, last)
 		}
 		last = state
 	}
 	return last, mismatch
 }
 
-// requireReplicated waits until all front ends have caught up and have one state,
-// and returns it.
+// requireReplicated waits until all running front ends have caught up and have the same
+// state, and returns that state.
 func (f *Fleet) requireReplicated(t *testing.T, limit time.Duration) replicatedState {
 	t.Helper()
 	mismatch := ""
@@ -79,12 +80,12 @@
 			return state
 		}
 	}
-	t.Fatalf("the replicated states differ after %v: %s", limit, mismatch)
+	t.Fatalf("the replicated states still differ after %v: %s", limit, mismatch)
 	return replicatedState{}
 }
 
-// sentTo lists the requests that an engine received after a time from some of the
-// front ends, by index.
+// sentTo describes the attempts that an engine received after a time from the front ends
+// that isFrom selects by index.
 func (f *Fleet) sentTo(engine *fakes.Engine, after time.Time, isFrom func(front int) bool) []string {
 	var sent []string
 	for _, attempt := range engine.Attempts() {
@@ -99,7 +100,7 @@
 	return sent
 }
 
-// withoutCatchUp is a program that serves before it has caught up.
+// withoutCatchUp is a program that serves requests before it has caught up.
 var withoutCatchUp = mutanttest.Mutant{
 	Name: "without catch-up",
 	File: "internal/replication/replica.go",
@@ -107,8 +108,8 @@
 	New:  "r.started = true\n\tr.catchUp.ready = true",
 }
 
-// overrideScenario is a fleet in which an engine is taken out of service while one
-// front end is down and others are cut off.
+// overrideScenario is a fleet in which an engine is taken out of service while one front
+// end is down and others are partitioned.
 type overrideScenario struct {
 	*Fleet
 	t           *testing.T
@@ -121,11 +122,12 @@
 	restartedAt    time.Time
 }
 
-// TestEngineOutOfService takes an engine out of service by a call to one front end:
-// no front end that the override reaches sends to the engine later than
-// overrideDelay after the acknowledgement, those cut off not later than that after
-// the partition, and the one that was down not at all once it has restarted. A
-// program that does not catch up before it serves fails this.
+// TestEngineOutOfService takes an engine out of service by a call to one front end. It
+// checks that front ends that the override reaches send nothing to the engine later than
+// overrideDelay after the acknowledgement, that partitioned front ends send nothing later
+// than overrideDelay after the end of the partition, and that the front end that was down
+// sends nothing after its restart. A program that serves before it has caught up must fail
+// the last check.
 func TestEngineOutOfService(t *testing.T) {
 	t.Run("program", func(t *testing.T) {
 		s := runOverrideScenario(t, *fleetSize, nil)
@@ -136,11 +138,13 @@
 	t.Run(withoutCatchUp.Name, func(t *testing.T) {
 		s := runOverrideScenario(t, 5, &withoutCatchUp)
 		if len(s.sentByRestarted(s.engine)) == 0 {
-			t.Error("the mutant that serves before it has caught up is not found")
+			t.Error("the mutant that serves before it has caught up passes the check")
 		}
 	})
 }
 
+// runOverrideScenario takes an engine out of service under faults, restarts the front end
+// that was down, and returns when all front ends have replicated the override.
 func runOverrideScenario(t *testing.T, size int, mutant *mutanttest.Mutant) *overrideScenario {
 	t.Helper()
 	f := startConverged(t, Options{
@@ -154,7 +158,7 @@
 	time.Sleep(2 * time.Second)
 	f.Heal()
 	s.healedAt = time.Now()
-	f.Record("healed")
+	f.Record("partition healed")
 	time.Sleep(2 * time.Second)
 	s.restartPartitioned()
 	f.requireReplicated(t, *convergenceLimit)
@@ -164,7 +168,7 @@
 	return s
 }
 
-// injectFaults kills a front end and cuts a quarter of the others off.
+// injectFaults kills one front end and partitions as many others as a quarter of the fleet.
 func (s *overrideScenario) injectFaults(size int) {
 	s.Signal(s.down, syscall.SIGKILL)
 	var targets []int
@@ -176,8 +180,8 @@
 	time.Sleep(time.Second)
 }
 
-// takeEngineOut takes the engine out of service, while the views still change: a
-// majority can be reached.
+// takeEngineOut takes the engine out of service while the views still change. A majority
+// of the front ends can be reached, so the call must succeed.
 func (s *overrideScenario) takeEngineOut() {
 	s.t.Helper()
 	status, body := Call(s.Fronts[0].ControlAddr, "POST", "engines/"+s.engine.ID+"/offline")
@@ -188,8 +192,8 @@
 	}
 }
 
-// restartPartitioned restarts the front end that is down, sends requests to it while it
-// is cut off and can't catch up, and heals the partition.
+// restartPartitioned restarts the front end that is down, sends requests to it while it is
+// partitioned and can't catch up, and heals the partition.
 func (s *overrideScenario) restartPartitioned() {
 	s.t.Helper()
 	s.restartedAt = time.Now()
@@ -212,32 +216,33 @@
 	requests.Wait()
 }
 
-// sentByRestarted lists what the restarted front end sent to an engine.
+// sentByRestarted describes the attempts that the restarted front end sent to an engine.
 func (s *overrideScenario) sentByRestarted(engine *fakes.Engine) []string {
 	return s.sentTo(engine, s.restartedAt, func(front int) bool { return front == s.down.Index })
 }
 
-// checkEngineUnused checks that nobody used the engine once it had to know.
+// checkEngineUnused checks that no front end sent attempts to the engine after the time
+// by which the override must have taken effect on it.
 func (s *overrideScenario) checkEngineUnused() {
 	s.t.Helper()
 	if sent := s.sentByRestarted(s.engine); len(sent) > 0 {
-		s.t.Errorf("the restarted front end sent %v", sent)
+		s.t.Errorf("the restarted front end sent attempts to the engine: %v", sent)
 	}
 	isReached := func(front int) bool { return !s.partitioned[front] && front != s.down.Index }
 	if sent := s.sentTo(s.engine, s.acknowledgedAt.Add(overrideDelay+*slack), isReached); len(sent) > 0 {
-		s.t.Errorf("sent too late after the acknowledgement: %v", sent)
+		s.t.Errorf("attempts sent too late after the acknowledgement: %v", sent)
 	}
 	isPartitioned := func(front int) bool { return s.partitioned[front] }
 	if sent := s.sentTo(s.engine, s.healedAt.Add(overrideDelay+*slack), isPartitioned); len(sent) > 0 {
-		s.t.Errorf("sent too late after the partition by those cut off: %v", sent)
+		s.t.Errorf("attempts sent by partitioned front ends too late after the partition: %v", sent)
 	}
 	if len(s.sentByRestarted(s.Engines[1])) == 0 {
-		s.t.Error("the restarted front end sends nothing to other engines: the run proves nothing")
+		s.t.Error("the restarted front end sent nothing to another engine: the run is not meaningful")
 	}
 }
 
-// requireCall makes an operators' call and fails the test unless the answer has the
-// wanted status. It returns the answer's body.
+// requireCall sends a POST request to the operators' API and fails the test unless the
+// response has the wanted status. It returns the body of the response.
 func (f *Fleet) requireCall(t *testing.T, front *FrontEnd, path string, wantStatus int) string {
 	t.Helper()
 	status, body := Call(front.ControlAddr, "POST", path)
@@ -248,10 +253,10 @@
 	return string(body)
 }
 
-// TestConcurrentOverrides writes overrides on both sides of a partition: a majority
-// acknowledges them, a minority answers how many front ends have them. After the
-// partition "out of service" is in force everywhere, and the conflict is shown until
-// an operator resolves it.
+// TestConcurrentOverrides writes overrides on both sides of a partition. The majority must
+// acknowledge them; a front end of the minority must respond with the number of front ends
+// that have them. After the partition, "out of service" must be in effect on all front
+// ends, and the conflict must be shown until an operator resolves it.
 func TestConcurrentOverrides(t *testing.T) {
 	f := startConverged(t, Options{Seed: 6, Size: 5, Engines: 3, ClusterConfig: replicatedCluster, Durable: true})
 	f.requireReplicated(t, *convergenceLimit)
@@ -274,19 +279,19 @@
 	checkOverridesSurviveRestart(t, f)
 }
 
-// checkSecondProcessRefused starts a second process of a front end beside the first:
-// it would vote with a state of its own.
+// checkSecondProcessRefused checks that a second process of a front end refuses to start
+// while the first one runs, because it would vote with a state of its own.
 func checkSecondProcessRefused(t *testing.T, f *Fleet, front *FrontEnd) {
 	t.Helper()
 	environment := fakes.ProgramEnvironment(front.configPath, testprocess.FreeAddr(t), front.tempDir)
 	second := testprocess.Start(t, environment, "-group", front.clusterPath)
 	if second.Wait() != 1 || !strings.Contains(second.Log(), "another process of this name?") {
-		t.Errorf("a second process of one name: %s", second.Log())
+		t.Errorf("a second process of the same name was not refused: %s", second.Log())
 	}
 	f.Record("a second process of %s has ended", front.Name)
 }
 
-// writeOnBothSides writes overrides on both sides of a partition, of which one has a
+// writeOnBothSides writes overrides on both sides of a partition. Only one side has a
 // majority.
 func writeOnBothSides(t *testing.T, f *Fleet) {
 	t.Helper()
@@ -296,11 +301,11 @@
 	f.Partition(minority.Index, otherMinority.Index)
 	f.requireCall(t, majority, "engines/s-00/online", 200)
 	if body := f.requireCall(t, minority, "engines/s-00/offline", 503); !strings.Contains(body, `"kept":2,"needed":3`) {
-		t.Errorf("the minority's answer is %q", body)
+		t.Errorf("the minority's response is %q", body)
 	}
 	f.requireCall(t, otherMinority, "engines/s-01/offline", 503)
-	// In and out again: an override that has seen the first one, and not that of the
-	// other side.
+	// Online and offline again: these overrides supersede the minority's first override,
+	// but not the override of the majority, which they have not received.
 	f.requireCall(t, minority, "engines/s-00/online", 503)
 	f.requireCall(t, minority, "engines/s-00/offline", 503)
 	if state, _ := f.Fronts[1].replicatedState(); state.isOutOfService("s-00") || state.isOutOfService("s-01") {
@@ -308,8 +313,8 @@
 	}
 }
 
-// checkOverridesSurviveRestart takes a front end out of service and kills all, so
-// that only the state directories have the overrides.
+// checkOverridesSurviveRestart takes a front end out of service and restarts all front
+// ends, so that the overrides remain only in the state directories.
 func checkOverridesSurviveRestart(t *testing.T, f *Fleet) {
 	t.Helper()
 	outOfService := f.Fronts[1]
@@ -317,10 +322,10 @@
 	f.KillAll()
 	f.StartAll()
 	if state := f.requireReplicated(t, *convergenceLimit); !state.isOutOfService("s-01") || state.isOutOfService("s-00") {
-		t.Errorf("after all were killed: %+v", state)
+		t.Errorf("after all front ends were killed: %+v", state)
 	}
 	testprocess.Until(t, f.Fronts[0].Name+" to be ready", f.Fronts[0].isReady)
 	if outOfService.isReady() {
-		t.Error("a front end out of service is in service after its restart")
+		t.Error("a front end that was taken out of service is ready after its restart")
 	}
 }
--- a/internal/faulttest/play.go
+++ b/internal/faulttest/play.go
@@ -8,10 +8,10 @@
 	"dewhill/internal/faultplan"
 )
 
-// partitionDurationMS is longer than any test: a partition lasts until Heal.
+// partitionDurationMS is longer than any test, so that a partition lasts until Heal.
 const partitionDurationMS = 1e9
 
-// RunTimeline injects the faults of a timeline and returns when the last has ended.
+// RunTimeline injects the faults of a timeline and returns when the last fault has ended.
 func (f *Fleet) RunTimeline(timeline faultplan.Timeline) {
 	f.t.Logf("%v", timeline)
 	startedAt := time.Now()
@@ -21,17 +21,17 @@
 	for _, fault := range timeline.Faults {
 		running.Go(func() {
 			time.Sleep(time.Until(startedAt.Add(milliseconds(fault.StartMS))))
-			f.Record("begins: %v", fault)
+			f.Record("fault begins: %v", fault)
 			f.beginFault(fault)
 			time.Sleep(time.Until(startedAt.Add(milliseconds(fault.StartMS + fault.DurationMS))))
-			f.Record("ends: %v", fault)
+			f.Record("fault ends: %v", fault)
 			f.endFault(fault)
 		})
 	}
 	running.Wait()
 }
 
-// beginFault begins a fault of processes. The relays apply those of the network.
+// beginFault begins a process fault. The relays apply network faults.
 func (f *Fleet) beginFault(fault faultplan.Fault) {
 	switch fault.Kind {
 	case faultplan.ProcessKill, faultplan.MassKill:
@@ -40,11 +40,11 @@
 		f.signalAll(fault.Targets, syscall.SIGTERM)
 	case faultplan.ProcessPause:
 		f.signalAll(fault.Targets, syscall.SIGSTOP)
-	default: // a fault of the network
+	default: // a network fault
 	}
 }
 
-// endFault ends a fault of processes.
+// endFault ends a process fault.
 func (f *Fleet) endFault(fault faultplan.Fault) {
 	switch fault.Kind {
 	case faultplan.ProcessPause:
@@ -53,12 +53,12 @@
 		for _, i := range fault.Targets {
 			f.StartProcess(f.Fronts[i])
 		}
-	default: // a fault of the network
+	default: // a network fault
 	}
 }
 
-// signalAll sends a signal to several front ends at once, and returns when those
-// that it ends have ended.
+// signalAll sends a signal to several front ends concurrently. If the signal ends the
+// processes, it returns when all of them have ended.
 func (f *Fleet) signalAll(indexes []int, signal syscall.Signal) {
 	var pending sync.WaitGroup
 	for _, i := range indexes {
@@ -67,8 +67,8 @@
 	pending.Wait()
 }
 
-// Partition cuts some front ends off from the others until Heal. It replaces all
-// network faults.
+// Partition separates the target front ends from the others until Heal is called. It
+// replaces all network faults.
 func (f *Fleet) Partition(targets ...int) {
 	fault := faultplan.Fault{Kind: faultplan.Partition, DurationMS: partitionDurationMS, Targets: targets}
 	f.relays.current.Store(&timelineRun{faultplan.Timeline{Faults: []faultplan.Fault{fault}}, time.Now()})
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -19,10 +19,11 @@
 	maxRelayDatagramSize = 2048
 )
 
-// relayNetwork carries the datagrams between front ends, by a socket for each
-// directed pair: what a sends to b goes to the socket (a, b) and reaches b from the
-// socket (b, a), which is the address that b knows a by. So front ends recognize
-// their peers by the sender's address, and every pair has faults of its own.
+// relayNetwork forwards the datagrams between front ends, with one socket for each
+// directed pair. A datagram from a to b is sent to the socket (a, b) and forwarded to b
+// from the socket (b, a), whose address b is configured with as that of a. Front ends can
+// therefore identify their peers by the sender's address, and each pair can have its own
+// faults.
 type relayNetwork struct {
 	sockets [][]*net.UDPConn // by sender and receiver
 	fronts  []netip.AddrPort
@@ -36,17 +37,17 @@
 	receivers sync.WaitGroup
 }
 
-// timelineRun is a timeline that runs since a time.
+// timelineRun is a timeline and the time at which its run started.
 type timelineRun struct {
 	timeline  faultplan.Timeline
 	startedAt time.Time
 }
 
-// nowMS returns the time in the timeline.
+// nowMS returns the time since the start of the run.
 func (p *timelineRun) nowMS() float64 { return float64(time.Since(p.startedAt).Microseconds()) / 1000 }
 
-// newRelayNetwork opens the sockets between front ends, which will listen on the
-// given addresses.
+// newRelayNetwork opens the sockets between front ends that will listen on the given
+// addresses, and starts to forward datagrams.
 func newRelayNetwork(seed uint64, fronts []netip.AddrPort) (*relayNetwork, error) {
 	r := &relayNetwork{fronts: fronts, rng: rand.New(rand.NewPCG(seed, relayRNGStream))}
 	for from := range fronts {
@@ -73,7 +74,7 @@
 	return r, nil
 }
 
-// addr returns the address at which a front end finds another.
+// addr returns the address at which one front end reaches another.
 func (r *relayNetwork) addr(from, to int) netip.AddrPort {
 	if from == to {
 		return r.fronts[from]
@@ -81,7 +82,7 @@
 	return r.sockets[from][to].LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// relay carries the datagrams of a directed pair until its socket is closed.
+// relay forwards the datagrams of a directed pair until its socket is closed.
 func (r *relayNetwork) relay(from, to int) {
 	var buffer [maxRelayDatagramSize]byte
 	for {
@@ -90,7 +91,7 @@
 			return
 		}
 		if err != nil || sender != r.fronts[from] {
-			continue // the error of an earlier send, or an unknown sender
+			continue // the error of an earlier send on this socket, or an unknown sender
 		}
 		r.relayed.Add(1)
 		copies := r.deliveries(from, to, bytes.Clone(buffer[:n]))
@@ -103,7 +104,7 @@
 	}
 }
 
-// deliveries returns the copies of a datagram that arrive.
+// deliveries returns the copies of a datagram that arrive under the current faults.
 func (r *relayNetwork) deliveries(from, to int, message []byte) []faultplan.Delivery {
 	p := r.current.Load()
 	if p == nil {
@@ -117,7 +118,7 @@
 // deliver sends a copy of a datagram to its receiver, after its delay.
 func (r *relayNetwork) deliver(from, to int, delivery faultplan.Delivery) {
 	send := func() {
-		// A receiver that is not running is an error, and a loss like any other.
+		// Sending to a receiver that is not running may fail: the datagram counts as lost.
 		_, _ = r.sockets[to][from].WriteToUDPAddrPort(delivery.Message, r.fronts[to])
 	}
 	if delivery.DelayMS > 0 {
@@ -127,7 +128,7 @@
 	}
 }
 
-// close closes the sockets and waits until nothing is relayed any more.
+// close closes the sockets and waits until all relays have stopped.
 func (r *relayNetwork) close() {
 	for _, row := range r.sockets {
 		for _, conn := range row {
@@ -139,5 +140,5 @@
 	r.receivers.Wait()
 }
 
-// milliseconds converts a time of a timeline.
+// milliseconds converts a time of a timeline, in ms, to a duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/faulttest/view.go
+++ b/internal/faulttest/view.go
@@ -14,13 +14,13 @@
 	viewPollInterval = 50 * time.Millisecond
 )
 
-// Call makes a call of the operators' API and returns the answer. Status 0: there is
-// none.
+// Call sends a request to the operators' API and returns the response. Status 0 means
+// that there was no response.
 func Call(controlAddr, method, path string) (status int, body []byte) {
 	return fakes.CallOperators(controlAddr, method, path, callTimeout)
 }
 
-// View is a front end's view of the fleet, by the operators' API.
+// View is a front end's view of the fleet, as the operators' API returns it.
 type View struct {
 	Self        string
 	Incarnation uint32
@@ -38,7 +38,7 @@
 	Incarnation uint32
 }
 
-// state returns the state of a member; empty: it is not in the view.
+// state returns the state of a member, or an empty string if it is not in the view.
 func (v *View) state(name string) string {
 	for _, m := range v.Members {
 		if m.Name == name {
@@ -48,15 +48,16 @@
 	return ""
 }
 
-// View returns the front end's view; false: it does not answer.
+// View returns the front end's view, and false if the front end did not respond.
 func (fe *FrontEnd) View() (View, bool) {
 	var view View
 	status, body := Call(fe.ControlAddr, "GET", "fleet")
 	return view, status == 200 && json.Unmarshal(body, &view) == nil
 }
 
-// ViewMismatch describes why the views of the running front ends are not equal,
-// converged and true; empty: they are.
+// ViewMismatch describes why the views of the running front ends have not converged: the
+// first view that is missing, has not settled, differs from another view, or does not match
+// the running processes. It returns an empty string if there is none.
 func (f *Fleet) ViewMismatch() string {
 	digest := ""
 	for _, front := range f.Fronts {
@@ -66,7 +67,7 @@
 		view, answered := front.View()
 		switch {
 		case !answered:
-			return front.Name + " does not answer operators"
+			return front.Name + " does not respond to operators"
 		case !view.Converged:
 			return front.Name + " has not converged"
 		case digest != "" && view.Digest != digest:
@@ -80,20 +81,21 @@
 	return ""
 }
 
-// stateMismatch describes the first member whose state in a view is not true.
+// stateMismatch describes the first front end whose state in a view does not match whether
+// its process is running.
 func (f *Fleet) stateMismatch(observer *FrontEnd, view *View) string {
 	for _, front := range f.Fronts {
 		state := view.state(front.Name)
 		listedAlive := state == "alive" || state == "suspect"
 		if running := front.Running(); running != listedAlive {
-			return fmt.Sprintf("%s holds %s as %q; running: %v", observer.Name, front.Name, state, running)
+			return fmt.Sprintf("%s lists %s as %q; running: %v", observer.Name, front.Name, state, running)
 		}
 	}
 	return ""
 }
 
-// AwaitConvergence waits until all views are equal, converged and true, and returns
-// how long that took; false: longer than the limit.
+// AwaitConvergence waits until ViewMismatch finds no mismatch, and returns how long that
+// took. It returns false if the limit passed first.
 func (f *Fleet) AwaitConvergence(limit time.Duration) (took time.Duration, ok bool) {
 	startedAt := time.Now()
 	last := ""
