--- a/internal/acceptance/clock_test.go
+++ b/internal/acceptance/clock_test.go
@@ -8,9 +8,10 @@
 	"dewhill/internal/fakes"
 )
 
-// TestColdEngineByASteppedClock checks that an engine that has just been listed is in slow
-// start, and no longer than it may need, although the list states its start by a wall
-// clock that is an hour off: it is sent about as much as with a correct clock.
+// TestColdEngineByASteppedClock checks that slow start of a newly listed engine does not
+// depend on the wall clock by which the endpoint list states the engine's start. With a
+// clock that is an hour off, the engine must receive about as many attempts as with a
+// correct clock, both during slow start and after it.
 func TestColdEngineByASteppedClock(t *testing.T) {
 	steps := []time.Duration{0, -time.Hour, time.Hour}
 	sent := make([]coldAttempts, len(steps))
@@ -24,24 +25,24 @@
 	})
 	correct := sent[0]
 	for i, stepped := range sent {
-		t.Logf("clock off by %v: %d attempts at first, %d after slow start", steps[i], stepped.duringSlowStart, stepped.afterSlowStart)
+		t.Logf("clock off by %v: %d attempts in the first half of slow start, %d after slow start", steps[i], stepped.duringSlowStart, stepped.afterSlowStart)
 		if stepped.duringSlowStart > 2*correct.duringSlowStart {
-			t.Errorf("clock off by %v: %d attempts at the cold engine, %d with the right clock",
+			t.Errorf("clock off by %v: %d attempts in the first half of slow start, %d with a correct clock",
 				steps[i], stepped.duringSlowStart, correct.duringSlowStart)
 		}
 		if 2*stepped.afterSlowStart < correct.afterSlowStart {
-			t.Errorf("clock off by %v: %d attempts after its slow start, %d with the right clock",
+			t.Errorf("clock off by %v: %d attempts after slow start, %d with a correct clock",
 				steps[i], stepped.afterSlowStart, correct.afterSlowStart)
 		}
 	}
 }
 
-// coldAttempts counts the attempts at an engine in the first half of its slow start, and
-// after it.
+// coldAttempts counts the attempts that an engine received in the first half of its slow
+// start, and for the duration of a slow start after it.
 type coldAttempts struct{ duringSlowStart, afterSlowStart int }
 
-// callWithColdEngine has clients call while a cold engine joins a warm one. The list states
-// its start by a clock that is off by a step.
+// callWithColdEngine sends requests while a cold engine is added to a list that has only a
+// warm one. The list states the cold engine's start by a clock that is off by step.
 func callWithColdEngine(t *testing.T, step time.Duration) coldAttempts {
 	t.Helper()
 	const slowStart = 3 * time.Second
@@ -60,7 +61,7 @@
 		defer close(done)
 		f.callUntil(stop, 12)
 	}()
-	time.Sleep(2 * time.Second) // polls without news: the list is known to be without the engine
+	time.Sleep(2 * time.Second) // several polls, so that the front end has a list without the cold engine
 	cold := endpoint(engines[1], fakes.Active)
 	cold.StartedAtMS = float64(time.Now().Add(step).UnixMilli())
 	listedAt := time.Now()
@@ -75,7 +76,8 @@
 	}
 }
 
-// callUntil has clients call one front end again and again until stop is closed.
+// callUntil has clients send requests to the first front end, one after another, until stop
+// is closed.
 func (f *fleet) callUntil(stop chan bool, clients int) {
 	ended := make(chan bool)
 	for range clients {
@@ -96,7 +98,7 @@
 	}
 }
 
-// attemptsWithin counts the attempts that an engine received within a span of time.
+// attemptsWithin counts the attempts that an engine received between two times.
 func attemptsWithin(e *fakes.Engine, from, until time.Time) int {
 	count := 0
 	for _, a := range e.Attempts() {
--- a/internal/acceptance/faults_test.go
+++ b/internal/acceptance/faults_test.go
@@ -15,18 +15,18 @@
 
 var (
 	firstSeed   = flag.Uint64("seed", 1, "first seed of TestFaultsBySeed")
-	seedCount   = flag.Int("seeds", 1, "how many seeds TestFaultsBySeed plays")
-	frontCount  = flag.Int("fronts", 3, "processes of the front end")
-	engineCount = flag.Int("engines", 9, "engines")
-	runDuration = flag.Duration("lasts", 6*time.Second, "time for which faults and clients go on")
-	clientCount = flag.Int("clients", 24, "clients that send one request after another")
+	seedCount   = flag.Int("seeds", 1, "number of seeds that TestFaultsBySeed runs")
+	frontCount  = flag.Int("fronts", 3, "number of front ends")
+	engineCount = flag.Int("engines", 9, "number of engines")
+	runDuration = flag.Duration("lasts", 6*time.Second, "duration of the faults and the clients' requests")
+	clientCount = flag.Int("clients", 24, "number of clients, each of which sends one request after another")
 )
 
-// faultyResponse draws what an engine does with an attempt. About one in four has a
-// fault that the protocol, the network or a faulty engine may show.
+// faultyResponse draws an engine's response to an attempt. About one response in four has a
+// fault that the protocol allows, or that the network or a faulty engine may cause.
 func faultyResponse(rng *rand.Rand, a fakes.Attempt) fakes.Response {
 	duration := time.Duration(10+rng.IntN(80)) * time.Millisecond
-	if a.Fields["c"] == entry { // the next of its key comes while it runs
+	if a.Fields["c"] == entry { // so that the next request of the same order key arrives while this one runs
 		duration *= 8
 	}
 	good := fakes.Response{Duration: duration, Pages: pagesOf(a.ID)}
@@ -49,7 +49,7 @@
 		return fakes.Response{NeverAnswers: true, Notes: statuses("note=share,num=0.1")}
 	case 4:
 		return fakes.Response{Duration: duration, Reset: true}
-	case 5: // an unknown verb, while the attempt goes on
+	case 5: // an unknown verb, while the attempt is still running
 		good.Notes, good.Duration = []fakes.StatusNote{}, 20*duration
 		good.First = a.ID + " LATER - 0\r\n\r\n"
 		return good
@@ -58,9 +58,9 @@
 		return good
 	case 7: // a duplicate reply
 		return fakes.Response{Duration: duration, Raw: ack + ack}
-	case 8: // a reply to an unknown id, then the right one
+	case 8: // a reply to an unknown ID, then the correct reply
 		return fakes.Response{Duration: duration, Raw: "ffffffffffffffff EVENT note=share,num=0.3 0\r\n\r\n" + ack}
-	case 9: // half a reply, and then nothing
+	case 9: // half a reply without the rest
 		return fakes.Response{Duration: duration, Raw: ack[:len(ack)/2]}
 	case 10: // a status after the last reply
 		return fakes.Response{Duration: duration, Raw: ack + a.ID + " EVENT note=share,num=1 0\r\n\r\n"}
@@ -70,10 +70,10 @@
 	}
 }
 
-// TestFaultsBySeed checks that faults of engines, network, discovery, clients and
-// processes, drawn from a seed and all at once, break no rule: each request that was
-// taken gets its answer in time, none has two attempts in flight, all are forwarded
-// unchanged, keys keep their order, and draining engines get nothing new.
+// TestFaultsBySeed checks that simultaneous faults of engines, network, discovery, clients
+// and processes, drawn from a seed, break no rule: each accepted request is answered in time,
+// no request has two attempts in flight, all requests are forwarded unchanged, requests of
+// one order key stay in order, and draining engines receive no new attempts.
 func TestFaultsBySeed(t *testing.T) {
 	for s := range *seedCount {
 		seed := *firstSeed + uint64(s)
@@ -81,6 +81,7 @@
 	}
 }
 
+// runFaults runs engines, clients and faults that are drawn from a seed, and checks the rules.
 func runFaults(t *testing.T, seed uint64) {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -114,15 +115,16 @@
 	all.Wait()
 	f.checkRules()
 	if served, _, _ := f.outcomes(); served == 0 {
-		t.Error("nothing was served")
+		t.Error("no request was served")
 	}
 }
 
-// keyRequestInterval is the time between two requests of one key, each on a new connection.
+// keyRequestInterval is the time between two requests of one order key. Each has a
+// connection of its own, so that without an interval they might arrive in another order.
 const keyRequestInterval = 250 * time.Millisecond
 
-// client sends one request after another until a time. Each client has a key of its own
-// and one front end, so that its entries arrive in order.
+// runClient sends one request after another until end. Each client has an order key of its
+// own and uses one front end, so that its entries arrive in order.
 func (f *fleet) runClient(rng *rand.Rand, k int, end time.Time) {
 	var entries sync.WaitGroup
 	defer entries.Wait()
@@ -143,7 +145,7 @@
 			q.Timeout = time.Duration(1+rng.IntN(40)) * time.Millisecond
 		}
 		fr := f.fronts[k%len(f.fronts)]
-		if q.Class == entry { // not waited for, so that they queue by their key
+		if q.Class == entry { // not waited for, so that entries queue by their order key
 			entries.Go(func() { f.call(fr, q) })
 			time.Sleep(keyRequestInterval)
 			continue
@@ -153,7 +155,8 @@
 	}
 }
 
-// disturb causes faults between front ends and engines, and drains engines.
+// injectFaults injects faults between front ends and engines or the discovery service, and
+// drains up to a third of the engines.
 func (f *fleet) injectFaults(rng *rand.Rand, relays []*fakes.Relay, endpoints []fakes.Endpoint, end time.Time) {
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -188,8 +191,8 @@
 	}
 }
 
-// injectDiscoveryFault causes a fault between front ends and the discovery service. What is
-// published from then on counts as known maxDiscoveryDelay later.
+// injectDiscoveryFault injects a fault between front ends and the discovery service. From then
+// on, front ends need to have received an update only maxDiscoveryDelay after its publication.
 func (f *fleet) injectDiscoveryFault(all *sync.WaitGroup, m fakes.Mode, duration time.Duration) {
 	f.mu.Lock()
 	isDisrupted := f.discoveryDelay > 0
@@ -205,8 +208,8 @@
 	})
 }
 
-// restart sends front ends the signals of a release, one after another: SIGHUP, or
-// SIGTERM or SIGKILL followed by a new process.
+// restartFronts sends signals to front ends, one after another, as a release does: SIGHUP, or
+// SIGTERM or SIGKILL and then a new process.
 func (f *fleet) restartFronts(rng *rand.Rand, end time.Time) {
 	for time.Until(end) > 2*time.Second {
 		time.Sleep(time.Duration(500+rng.IntN(1000)) * time.Millisecond)
@@ -228,7 +231,7 @@
 		} else {
 			fr.process.Signal(syscall.SIGTERM)
 			if code := fr.process.Wait(); code != 0 {
-				f.t.Errorf("a front end ended with %d after SIGTERM", code)
+				f.t.Errorf("a front end exited with status %d after SIGTERM", code)
 			}
 		}
 		f.writeConfig(fr)
--- a/internal/acceptance/fleet_test.go
+++ b/internal/acceptance/fleet_test.go
@@ -14,18 +14,18 @@
 
 // deployment describes a fleet under test.
 type deployment struct {
-	fronts           int // processes that are started
-	configuredFronts int // front ends in the settings; 0: as many as are started
+	fronts           int // number of front ends that are started
+	configuredFronts int // number of front ends in the settings; 0: the same as fronts
 	cores            int // of an engine
-	sockets          int
-	// configure changes the configuration of each front end before it is written; nil:
-	// it stays as it is.
+	sockets          int // limit of a front end; 0: 1024
+	// configure changes the configuration of each front end before it is written; nil: no
+	// change.
 	configure func(config *fakes.ProgramConfig, settings map[string]any)
 }
 
-// The classes of the settings: a lookup and a report that may be repeated, an entry
-// whose repeats engines drop by its idempotency key, in order by another key, and a
-// load that must not run twice.
+// The classes of the settings: lookups and reports, which are idempotent; entries, which
+// engines deduplicate by the idempotency key and which run in the order of their order key;
+// and loads, which must not run twice.
 const (
 	lookup = "lookup"
 	report = "report"
@@ -41,11 +41,12 @@
 	retryBudgetPerRequest = 0.1
 	retryBudgetWindow     = 5 * time.Second
 
-	// maxDiscoveryDelay is when what the discovery service has published counts as known,
-	// although the service can't be reached.
+	// maxDiscoveryDelay is the time after which front ends must have received a published
+	// update, although they could not reach the discovery service in between.
 	maxDiscoveryDelay = 7 * time.Second
 )
 
+// settings returns the settings of the front end with an ordinal.
 func (d deployment) settings(ordinal int) map[string]any {
 	replicas := d.configuredFronts
 	if replicas == 0 {
@@ -71,13 +72,13 @@
 	}
 }
 
-// fleet is a number of running front ends with their fakes.
+// fleet is a group of running front ends with their fake engines and discovery service.
 type fleet struct {
 	t          *testing.T
 	deployment deployment
 	engines    []*fakes.Engine
 	discovery  *fakes.Discovery
-	// discoveryAddr leads to the discovery service through discoveryRelay.
+	// discoveryAddr is the address of discoveryRelay, which forwards to the discovery service.
 	discoveryAddr  string
 	discoveryRelay *fakes.Relay
 	fronts         []*frontEnd
@@ -85,21 +86,22 @@
 	mu        sync.Mutex
 	replies   []fakes.Reply
 	drainedAt map[string]time.Time
-	// restarts are those of front ends, by address, and kills when they were killed.
+	// restarts and killedAt are the restarts of front ends and the times at which they were
+	// killed, by address.
 	restarts       map[string][]fakes.Restart
 	killedAt       map[string][]time.Time
-	discoveryDelay time.Duration // after which what is published counts as known
+	discoveryDelay time.Duration // after which front ends must have received an update
 	requestCount   int
 }
 
-// frontEnd is a front end, whose process may be restarted.
+// frontEnd is a front end. Its process may be restarted.
 type frontEnd struct {
 	addr, path string
 	config     fakes.ProgramConfig
 	process    *testprocess.Process
 }
 
-// start starts front ends with engines. All end with the test.
+// start starts front ends whose endpoint list has all engines. They stop when the test ends.
 func start(t *testing.T, d deployment, engines []*fakes.Engine) *fleet {
 	t.Helper()
 	endpoints := make([]fakes.Endpoint, len(engines))
@@ -109,7 +111,8 @@
 	return startOn(t, d, engines, endpoints)
 }
 
-// startOn starts front ends with a list of endpoints that lead to the engines.
+// startOn starts front ends with an endpoint list. The endpoints may lead to the engines
+// through relays.
 func startOn(t *testing.T, d deployment, engines []*fakes.Engine, endpoints []fakes.Endpoint) *fleet {
 	t.Helper()
 	discovery := fakes.NewDiscovery(t, endpoints)
@@ -134,11 +137,12 @@
 	return f
 }
 
+// endpoint returns the endpoint of an engine.
 func endpoint(e *fakes.Engine, health string) fakes.Endpoint {
 	return fakes.Endpoint{ID: e.ID, Address: e.Addr, Zone: "here", Kind: "std", State: health, Size: 1}
 }
 
-// front writes the configuration of a front end.
+// newFrontEnd returns a front end that is not running yet, and writes its configuration.
 func (f *fleet) newFrontEnd(i int) *frontEnd {
 	f.t.Helper()
 	fr := &frontEnd{addr: testprocess.FreeAddr(f.t), path: filepath.Join(f.t.TempDir(), "config.json")}
@@ -165,8 +169,8 @@
 	return fr
 }
 
-// refresh writes a front end's configuration, with what the discovery service has
-// published so far, as a platform does before it starts a process.
+// writeConfig writes a front end's configuration with all updates that the discovery service
+// has published so far, as the platform does before it starts a process.
 func (f *fleet) writeConfig(fr *frontEnd) {
 	f.t.Helper()
 	fr.config.KnownUpdates, _ = f.discovery.Since(0)
@@ -175,14 +179,15 @@
 	}
 }
 
-// run starts a front end's process and waits until it is healthy.
+// startProcess starts a front end's process and waits until it is healthy.
 func (f *fleet) startProcess(fr *frontEnd) {
 	f.t.Helper()
 	fr.process = testprocess.Start(f.t, fakes.ProgramEnvironment(fr.path, "", f.t.TempDir()))
 	testprocess.Until(f.t, "the front end to be healthy", func() bool { return fakes.Healthy(fr.addr) })
 }
 
-// call sends a request to a front end and records the reply.
+// call sends a request to a front end and records the response. It fills in an ID, a
+// statement and an entry's idempotency key if the request has none.
 func (f *fleet) call(fr *frontEnd, q fakes.Request) fakes.Reply {
 	f.mu.Lock()
 	f.requestCount++
@@ -207,10 +212,10 @@
 // rowsOf returns the rows that all engines send for a request.
 func rowsOf(id string) [][]string { return [][]string{{id, "1", "x"}, {id, "2", "y"}} }
 
-// pagesOf returns the same as pages.
+// pagesOf returns the rows of rowsOf as pages of an engine's reply.
 func pagesOf(id string) []string { return []string{id + "\t1\tx\n", id + "\t2\ty\n"} }
 
-// violations returns the broken rules that the records show so far.
+// violations returns the rule violations that the records show so far.
 func (f *fleet) violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -232,7 +237,7 @@
 	return rules.Check(f.replies, f.engines)
 }
 
-// outcomes counts the replies so far.
+// outcomes counts the requests so far by their outcome.
 func (f *fleet) outcomes() (served, refused, failed int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -249,10 +254,10 @@
 	return served, refused, failed
 }
 
-// maxPrintedViolations is how many broken rules a failing test prints.
+// maxPrintedViolations bounds the rule violations that a failing test prints.
 const maxPrintedViolations = 12
 
-// checkRules fails the test if a rule was broken.
+// checkRules fails the test if a rule was violated.
 func (f *fleet) checkRules() {
 	f.t.Helper()
 	broken := f.violations()
@@ -260,8 +265,8 @@
 		f.t.Error(b)
 	}
 	if len(broken) > maxPrintedViolations {
-		f.t.Errorf("and %d more", len(broken)-maxPrintedViolations)
+		f.t.Errorf("and %d more violations", len(broken)-maxPrintedViolations)
 	}
 	served, refused, failed := f.outcomes()
-	f.t.Logf("%d served, %d refused, %d failed, %d rules broken", served, refused, failed, len(broken))
+	f.t.Logf("%d requests served, %d refused, %d failed; %d rule violations", served, refused, failed, len(broken))
 }
--- a/internal/acceptance/incident_test.go
+++ b/internal/acceptance/incident_test.go
@@ -10,17 +10,17 @@
 	"dewhill/internal/fakes"
 )
 
-// responseWithStatuses is a response with the statuses that the protocol allows before
-// the last reply: what the attempt waits for or lacks, then its progress.
+// responseWithStatuses returns a response with the statuses that the protocol allows before
+// the last reply: the attempt is blocked, alive, short of memory, and half done.
 func responseWithStatuses(a fakes.Attempt, duration time.Duration) fakes.Response {
 	return fakes.Response{Duration: duration, Pages: pagesOf(a.ID), Notes: []fakes.StatusNote{
 		{Fields: "note=held,num=2"}, {Fields: "-"}, {After: duration / 4, Fields: "note=short,num=96"},
 		{After: duration / 2, Fields: "note=share,num=0.5"}}}
 }
 
-// TestStatusesEndNothing checks that a request whose engine reports statuses has one
-// attempt and is served by it. (Incident of 2026-12-02: each status was taken for an
-// error, so the request went to a second engine while the first attempt went on.)
+// TestStatusesEndNothing checks that a request whose engine sends statuses is served by its
+// first attempt. (Incident of 2026-12-02: each status was treated as an error, so the request
+// was sent to a second engine while the first attempt was still running.)
 func TestStatusesEndNothing(t *testing.T) {
 	var engines []*fakes.Engine
 	for i := range 8 {
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestIdempotencyKeyIsForwarded checks that each attempt has its client's idempotency key
-// unchanged, and that a request without a valid key reaches no engine. (Incident of
-// 2026-12-02: the key was dropped.)
+// TestIdempotencyKeyIsForwarded checks that each attempt has the client's idempotency key
+// unchanged, and that a request without a valid key is rejected and sent to no engine.
+// (Incident of 2026-12-02: the key was dropped.)
 func TestIdempotencyKeyIsForwarded(t *testing.T) {
 	var mu sync.Mutex
 	attempts := map[string]int{}
@@ -59,8 +59,8 @@
 			mu.Lock()
 			defer mu.Unlock()
 			attempts[a.ID]++
-			if attempts[a.ID] == 1 && len(attempts) <= 2 { // as many retries as the budget allows
-				return fakes.Response{Verb: "EIO"} // it may have run, and the retry has its key
+			if attempts[a.ID] == 1 && len(attempts) <= 2 { // within the retry budget
+				return fakes.Response{Verb: "EIO"} // the attempt may have run, and the retry has its key
 			}
 			return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 		}))
@@ -69,7 +69,7 @@
 	for k := range 4 {
 		r := f.call(f.fronts[0], fakes.Request{Class: entry, Key: fmt.Sprint("key-", k), Timeout: 4 * time.Second})
 		if !r.Served() {
-			t.Errorf("status %d, %q", r.Status, r.Err)
+			t.Errorf("entry %d: status %d, %q", k, r.Status, r.Err)
 		}
 	}
 	before := len(attemptsAt(engines))
@@ -79,15 +79,16 @@
 			q.IdempotencyKey = fakes.NoIdempotencyKey
 		}
 		if r := f.call(f.fronts[0], q); r.Status != 400 {
-			t.Errorf("token %q: status %d, %q", token, r.Status, r.Err)
+			t.Errorf("idempotency key %q: status %d, %q, want status 400", token, r.Status, r.Err)
 		}
 	}
 	if n := len(attemptsAt(engines)) - before; n != 0 {
-		t.Errorf("%d attempts of requests without a key that can be passed on", n)
+		t.Errorf("%d attempts of requests without a valid idempotency key", n)
 	}
 	f.checkRules()
 }
 
+// attemptsAt returns the attempts that engines have received.
 func attemptsAt(engines []*fakes.Engine) (all []fakes.Attempt) {
 	for _, e := range engines {
 		all = append(all, e.Attempts()...)
@@ -96,12 +97,12 @@
 }
 
 // TestEndpointUpdatesOfALargeFleet checks that requests are answered while a release
-// replaces engines in a list of thousands. (Incident of 2026-12-02: an update took 0.4 s
-// of the event loop, so hundreds of requests went unanswered.)
+// replaces engines in a list of thousands. (Incident of 2026-12-02: an update blocked the
+// event loop for 0.4 s, so hundreds of requests were not answered.)
 func TestEndpointUpdatesOfALargeFleet(t *testing.T) {
 	const size, configuredFronts, changes = 3200, 900, 60
 	const minServed = 100
-	engines := make([]*fakes.Engine, 8) // real ones; the rest of the list leads to the same addresses
+	engines := make([]*fakes.Engine, 8) // the running engines; all endpoints of the list have their addresses
 	for i := range engines {
 		engines[i] = fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Response {
 			return fakes.Response{Duration: 20 * time.Millisecond, Pages: pagesOf(a.ID)}
@@ -129,7 +130,7 @@
 	}
 	for k := range changes {
 		time.Sleep(50 * time.Millisecond)
-		f.waitForServed(2*k, time.Second) // on a busy machine the clients call slowly
+		f.waitForServed(2*k, time.Second) // on a busy host, clients send requests slowly
 		removed, added := endpoints[k*7%size], endpoints[k*7%size]
 		removed.State = fakes.Removed
 		added.ID = fmt.Sprintf("new-%08x", k)
@@ -141,19 +142,19 @@
 	f.checkRules()
 	served, refused, failed := f.outcomes()
 	if served < minServed || refused+failed > served/10 {
-		t.Errorf("%d served, %d refused, %d failed", served, refused, failed)
+		t.Errorf("%d served, want %d or more; %d refused, %d failed, want at most a tenth of those served", served, minServed, refused, failed)
 	}
 	cpu := f.fronts[0].process.CPUTime()
 	count := f.fronts[0].process.Stop()
-	t.Logf("%v of processor time; %v ms for the longest change, %v ms for the longest event, %v stalls", cpu,
+	t.Logf("%v of processor time; %v ms for the longest endpoint update, %v ms for the longest event, %v stalls", cpu,
 		count["node"].(map[string]any)["WorstNotice"], count["requests"].(map[string]any)["WorstEvent"],
 		count["requests"].(map[string]any)["Stalls"])
 	if worst := count["node"].(map[string]any)["WorstNotice"].(float64); worst > maxUpdateMS {
-		t.Errorf("a change of the list took %.0f ms of the event loop, %d are allowed", worst, maxUpdateMS)
+		t.Errorf("an endpoint update blocked the event loop for %.0f ms, %d ms are allowed", worst, maxUpdateMS)
 	}
 }
 
-// waitForServed waits until so many requests were served, for a time at most.
+// waitForServed waits until count requests were served, but no longer than limit.
 func (f *fleet) waitForServed(count int, limit time.Duration) {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if served, _, _ := f.outcomes(); served >= count {
@@ -162,6 +163,6 @@
 	}
 }
 
-// maxUpdateMS bounds the event loop's time for an update of 3,200 endpoints, also with
-// the race detector on a busy machine.
+// maxUpdateMS bounds the time for which an update of a list of 3,200 endpoints blocks the
+// event loop. The bound allows for the race detector and a busy host.
 const maxUpdateMS = 250
--- a/internal/acceptance/protocol_test.go
+++ b/internal/acceptance/protocol_test.go
@@ -15,9 +15,9 @@
 	"dewhill/internal/testprocess"
 )
 
-// The ids of requests that tests name begin with an f: those that call makes up never do.
+// Request IDs that are written out in tests begin with an f. IDs that call generates never do.
 
-// settingsSection returns a part of a configuration's settings.
+// settingsSection returns a section of the settings.
 func settingsSection(settings map[string]any, section string) map[string]any {
 	return settings[section].(map[string]any)
 }
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// newEngines starts so many engines that respond alike.
+// newEngines starts count engines with the same respond function.
 func newEngines(t *testing.T, count int, respond func(fakes.Attempt) fakes.Response) []*fakes.Engine {
 	t.Helper()
 	var engines []*fakes.Engine
@@ -42,7 +42,7 @@
 	return engines
 }
 
-// attemptsOf returns a request's attempts in the order of their arrival.
+// attemptsOf returns the attempts of a request that engines have received, by time.
 func attemptsOf(engines []*fakes.Engine, id string) (list []fakes.Attempt) {
 	for _, a := range attemptsAt(engines) {
 		if a.ID == id {
@@ -53,19 +53,19 @@
 	return list
 }
 
-// counters ends a front end and returns a group of the counters that it prints last.
+// counters stops a front end and returns a group of the counters that it prints at its end.
 func (fr *frontEnd) counters(group string) map[string]any {
 	return fr.process.Stop()[group].(map[string]any)
 }
 
-// TestAllTriesHaveOneIdempotencyKey checks that all attempts of a load have its key, and
-// that a client's own retry, which has an id of its own and the key of the first try, is
-// taken and forwarded with it.
+// TestAllTriesHaveOneIdempotencyKey checks that all attempts of an entry have its idempotency
+// key, and that a client's own retry, which has another request ID and the same key, is
+// accepted and forwarded with that key.
 func TestAllTriesHaveOneIdempotencyKey(t *testing.T) {
 	const firstID, retryID, token = "f0000000000000a1", "f0000000000000a2", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	engines := newEngines(t, 3, func(a fakes.Attempt) fakes.Response {
 		if a.ID == firstID {
-			return fakes.Response{Verb: "EIO"} // it may have run
+			return fakes.Response{Verb: "EIO"} // the attempt may have run
 		}
 		return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 	})
@@ -76,7 +76,7 @@
 		})
 	}
 	if r := call(firstID); r.Status != 502 {
-		t.Errorf("a load whose attempts all fail: status %d, %q", r.Status, r.Err)
+		t.Errorf("an entry whose attempts all fail: status %d, %q, want status 502", r.Status, r.Err)
 	}
 	time.Sleep(keyRequestInterval)
 	if r := call(retryID); !r.Served() {
@@ -84,18 +84,19 @@
 	}
 	first, retry := attemptsOf(engines, firstID), attemptsOf(engines, retryID)
 	if len(first) < 2 || len(retry) != 1 {
-		t.Errorf("%d attempts of the first try, %d of the retry", len(first), len(retry))
+		t.Errorf("%d attempts of the first request, want 2 or more; %d of the retry, want 1", len(first), len(retry))
 	}
 	for _, a := range append(first, retry...) {
 		if a.Fields["i"] != token {
-			t.Errorf("%s at %s has the key %q", a.ID, a.Engine, a.Fields["i"])
+			t.Errorf("attempt of %s at %s has the idempotency key %q", a.ID, a.Engine, a.Fields["i"])
 		}
 	}
 	f.checkRules()
 }
 
-// TestNoRepeatAfterTheWindow checks that a load that may have run is repeated only while
-// engines drop a repeat of its key, counted from its first attempt.
+// TestNoRepeatAfterTheWindow checks that an entry that may have run is retried only within the
+// time for which engines deduplicate requests by the idempotency key, counted from its first
+// attempt.
 func TestNoRepeatAfterTheWindow(t *testing.T) {
 	const window = 800 * time.Millisecond
 	failAfter := map[string]time.Duration{"early": 20 * time.Millisecond, "late": window + 100*time.Millisecond}
@@ -112,7 +113,7 @@
 	})
 	f := start(t, deployment{fronts: 1, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
 		classSettings(settings, entry)["windowMs"] = window.Milliseconds()
-		settingsSection(settings, "domain")["progressMs"] = 0 // no notes come, and none are missed
+		settingsSection(settings, "domain")["progressMs"] = 0 // engines need not send statuses
 	}}, engines)
 	call := func(statement string) fakes.Reply {
 		q := fakes.Request{Class: entry, Key: statement, Statement: statement, Timeout: 4 * time.Second}
@@ -130,15 +131,15 @@
 	f.checkRules()
 }
 
-// TestKeyRests checks that after an attempt that may still run, as it timed out, was reset
-// or was cancelled, the next request of its key is held for the time in the settings and
-// sent soon after it.
+// TestKeyRests checks that the next request of an order key is held for the time in the
+// settings, and sent soon after that time, if the last attempt of the key may still be running
+// because it timed out, was reset or was cancelled.
 func TestKeyRests(t *testing.T) {
-	const slack = 1500 * time.Millisecond // of a busy machine
+	const slack = 1500 * time.Millisecond // allowed on a busy host
 	for _, c := range []struct {
 		name     string
 		first    fakes.Request
-		response fakes.Response // to the first attempt
+		response fakes.Response // of the engine to the first attempt
 		end      fakes.End      // of the first attempt
 	}{
 		{
@@ -162,7 +163,7 @@
 				return response
 			})
 			f := start(t, deployment{fronts: 1, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
-				settingsSection(settings, "domain")["progressMs"] = 0 // no notes come, and none are missed
+				settingsSection(settings, "domain")["progressMs"] = 0 // engines need not send statuses
 			}}, engines)
 			var all sync.WaitGroup
 			c.first.ID, c.first.Class, c.first.Key = "f0000000000000b1", entry, "set-1"
@@ -172,32 +173,32 @@
 			all.Wait()
 			first, sent := attemptsOf(engines, c.first.ID), attemptsOf(engines, next.ID)
 			if len(first) == 0 || first[0].End != c.end || !next.Served() || len(sent) != 1 {
-				t.Fatalf("first %+v, next %+v with %d attempts", first, next, len(sent))
+				t.Fatalf("first request: attempts %+v; next request: %+v with %d attempts", first, next, len(sent))
 			}
 			delay := sent[0].ReceivedAt.Sub(first[0].EndedAt)
 			if delay < keySettle-fakes.Tolerance || delay > keySettle+slack {
-				t.Errorf("the next of the key was sent %v after the end, want %v", delay, keySettle)
+				t.Errorf("the next request of the order key was sent %v after the end of the attempt, want %v", delay, keySettle)
 			}
 			f.checkRules()
 		})
 	}
 }
 
-// statusInterval is the time between an engine's notes.
+// statusInterval is the interval at which engines must send statuses, in the settings.
 const statusInterval = time.Second
 
-// malformedStatuses are notes that say nothing that can be used.
+// malformedStatuses are statuses with invalid fields, which front ends drop.
 var malformedStatuses = []string{
 	"note=share,num=7", "note=share,num=-0.1", "note=share", "num=0.5", "note=short,num=NaN",
 	"note=short,num=-96", "note=held,num=3", "note=held,num=0", "note=later,num=1", "note=share,num=half",
 }
 
-// wellFormedStatuses are the notes of the protocol.
+// wellFormedStatuses are valid statuses of the protocol.
 var wellFormedStatuses = []string{
 	"note=held,num=2", "note=short,num=96", "note=share,num=0.5", "note=held,num=1", "-",
 }
 
-// spread returns notes that come one after another within a time.
+// spreadStatuses returns statuses that are sent at equal intervals within a time.
 func spreadStatuses(statuses []string, within time.Duration) (list []fakes.StatusNote) {
 	for i, fields := range statuses {
 		after := within * time.Duration(i) / time.Duration(len(statuses))
@@ -206,10 +207,10 @@
 	return list
 }
 
-// TestNotesReachTheDecisions checks that an attempt of which well-formed notes come each
-// second goes on, also with malformed ones between them, and that an attempt of which only
-// malformed notes come counts as one that is silent: they are dropped and counted, end
-// nothing by themselves, and are no sign of life.
+// TestNotesReachTheDecisions checks that an attempt continues if its engine sends a well-formed
+// status each second, also with malformed statuses between them. An attempt whose engine sends
+// only malformed statuses counts as unresponsive: malformed statuses are dropped and counted;
+// they don't end the attempt by themselves, and they don't count as activity.
 func TestNotesReachTheDecisions(t *testing.T) {
 	var mixed []string
 	for i, fields := range wellFormedStatuses {
@@ -223,7 +224,8 @@
 		minDropped, maxDropped int
 	}{
 		{"mixed", mixed, 1, len(wellFormedStatuses), len(malformedStatuses), len(malformedStatuses)},
-		// The attempt is cancelled on the way, and some of its notes may come after that.
+		// The attempt is cancelled before its engine has sent all statuses, so some of them may
+		// arrive after that.
 		{"malformed alone", malformedStatuses, 2, 0, len(malformedStatuses) / 3, len(malformedStatuses)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -243,27 +245,27 @@
 			r := f.call(f.fronts[0], fakes.Request{Class: entry, Key: "set-1", Timeout: 15 * time.Second})
 			made := attemptsOf(engines, r.ID)
 			if !r.Served() || len(made) != c.attempts {
-				t.Fatalf("status %d, %d attempts, want %d", r.Status, len(made), c.attempts)
+				t.Fatalf("status %d, %d attempts, want status 200 and %d attempts", r.Status, len(made), c.attempts)
 			}
 			if lasted := made[0].EndedAt.Sub(made[0].ReceivedAt); lasted < 2*statusInterval {
-				t.Errorf("the first attempt ended after %v", lasted)
+				t.Errorf("the first attempt ended after %v, want %v or more", lasted, 2*statusInterval)
 			}
 			f.checkRules()
 			counters := f.fronts[0].counters("engines")
 			dropped := int(counters["SpoiltNotes"].(float64))
 			if counters["Notes"] != float64(c.wantAccepted) || dropped < c.minDropped || dropped > c.maxDropped {
-				t.Errorf("%v notes passed on, %d dropped", counters["Notes"], dropped)
+				t.Errorf("%v statuses accepted, want %d; %d dropped, want %d to %d", counters["Notes"], c.wantAccepted, dropped, c.minDropped, c.maxDropped)
 			}
 			if counters["UnknownWords"] != 0.0 || counters["Garbage"] != 0.0 {
-				t.Errorf("counters %v", counters)
+				t.Errorf("unknown verbs or invalid replies were counted: %v", counters)
 			}
 		})
 	}
 }
 
-// TestConnectTimeoutOfTheSettings checks that a connection to a machine that says nothing
-// is given up after the time in the settings, and that the request, which never ran, is
-// served elsewhere.
+// TestConnectTimeoutOfTheSettings checks that an attempt to connect to an unresponsive engine
+// is abandoned after the time-out in the settings, and that the request, which was not sent,
+// is served by another engine.
 func TestConnectTimeoutOfTheSettings(t *testing.T) {
 	const timeout, slack = 250 * time.Millisecond, 1500 * time.Millisecond
 	engines := newEngines(t, 1, func(a fakes.Attempt) fakes.Response {
@@ -274,11 +276,11 @@
 	f := startOn(t, deployment{fronts: 1, cores: 8}, engines, endpoints)
 	waited := 0
 	for range 8 {
-		// A load that must not run twice: that nothing was sent must be certain.
+		// A load must not run twice, so it is retried only if it certainly was not sent.
 		r := f.call(f.fronts[0], fakes.Request{Class: load, Timeout: 4 * time.Second})
 		took := r.Ended.Sub(r.Sent)
 		if !r.Served() || took > timeout+slack {
-			t.Errorf("status %d, %q after %v", r.Status, r.Err, took)
+			t.Errorf("status %d, %q after %v, want status 200 within %v", r.Status, r.Err, took, timeout+slack)
 		}
 		if took >= timeout {
 			waited++
@@ -287,12 +289,12 @@
 	f.checkRules()
 	counters := f.fronts[0].counters("engines")
 	if waited == 0 || counters["DialFailures"] == 0.0 {
-		t.Errorf("%d requests waited for the silent machine, counters %v", waited, counters)
+		t.Errorf("%d requests waited for the unresponsive engine, counters %v", waited, counters)
 	}
 }
 
-// unreachableAddr returns an address whose connections never come up: its backlog is full,
-// and nobody accepts.
+// unreachableAddr returns an address at which connections are never established: the backlog
+// of its listener is full, and no connection is accepted.
 func unreachableAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -320,9 +322,9 @@
 	}
 }
 
-// TestNothingThatTheSettingsForbid checks that a front end sends no probe, no priority and
-// no datagram where the settings have none, though it is given a peer; and, so that this
-// says something, that it does send datagrams and priorities where they allow them.
+// TestNothingThatTheSettingsForbid checks that a front end sends no probes, priorities and
+// datagrams if the settings forbid them, although it has a peer. The second case shows that
+// the front end does send datagrams and priorities if the settings allow them.
 func TestNothingThatTheSettingsForbid(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		t.Run(fmt.Sprint("allowed ", allowed), func(t *testing.T) {
@@ -348,28 +350,29 @@
 			for _, e := range engines {
 				probes += e.CommandCount("METER") + e.CommandCount("ECHO")
 				if n := e.CommandCount("BOOST"); n > 0 && !allowed {
-					t.Errorf("%d priorities changed", n)
+					t.Errorf("%d changes of priority were sent", n)
 				}
 			}
 			for _, a := range attemptsAt(engines) {
 				priorities[a.Fields["nice"]] = true
 			}
 			if probes > 0 || !allowed && (datagrams.Load() > 0 || len(priorities) != 1 || !priorities["1"]) {
-				t.Errorf("%d probes, %d datagrams, priorities %v", probes, datagrams.Load(), priorities)
+				t.Errorf("engines and peer received %d probes, %d datagrams, priorities %v", probes, datagrams.Load(), priorities)
 			}
 			if allowed && len(priorities) != 2 {
-				t.Errorf("priorities %v, want those of two classes", priorities)
+				t.Errorf("priorities %v, want the priorities of two classes", priorities)
 			}
 			counters := f.fronts[0].process.Stop()
 			sentToPeers := counters["node"].(map[string]any)["Told"].(float64)
 			if sent := counters["engines"].(map[string]any)["Probes"]; sent != 0.0 || (sentToPeers > 0) != allowed {
-				t.Errorf("%v probes, %v messages to peers", sent, sentToPeers)
+				t.Errorf("counters: %v probes, %v messages to peers", sent, sentToPeers)
 			}
 		})
 	}
 }
 
-// countDatagrams listens for datagrams until the test ends, and returns its address.
+// countDatagrams counts the datagrams that a socket receives until the test ends, and returns
+// the socket's address.
 func countDatagrams(t *testing.T, count *atomic.Int32) string {
 	t.Helper()
 	conn := listenDatagrams(t)
@@ -382,7 +385,7 @@
 			}
 			count.Add(1)
 			if n > maxDatagramBytes {
-				t.Errorf("a datagram of %d bytes", n)
+				t.Errorf("received a datagram of %d bytes, want %d at most", n, maxDatagramBytes)
 			}
 		}
 	}()
@@ -392,9 +395,9 @@
 // maxDatagramBytes bounds a datagram between front ends.
 const maxDatagramBytes = 256
 
-// TestDatagramsThatMeanNothing checks that datagrams of strangers, too long ones and those
-// of a kind that is not known are counted and change nothing, and that those of a peer are
-// taken.
+// TestDatagramsThatMeanNothing checks that datagrams from unknown senders, datagrams that are
+// too long and datagrams of an unknown kind are counted and have no effect, and that valid
+// datagrams of a peer are accepted.
 func TestDatagramsThatMeanNothing(t *testing.T) {
 	engines := newEngines(t, 2, func(a fakes.Attempt) fakes.Response {
 		return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
@@ -422,11 +425,11 @@
 	send(peer, make([]byte, maxDatagramBytes+1))
 	send(peer, []byte("\xd1\x77 of a kind that is not known"))
 	send(peer, []byte("\xff\xff\xff\xff\xff\xff\xff\xff"))
-	send(peer, []byte{0x3f, 0x80, 0, 0}) // demand of 1
+	send(peer, []byte{0x3f, 0x80, 0, 0}) // a demand of 1
 	send(peer, nil)
 	for range 10 {
 		if r := f.call(f.fronts[0], fakes.Request{Class: lookup, Timeout: 4 * time.Second}); !r.Served() {
-			t.Errorf("status %d, %q", r.Status, r.Err)
+			t.Errorf("a request after the datagrams: status %d, %q", r.Status, r.Err)
 		}
 	}
 	counters := f.fronts[0].counters("node")
@@ -437,7 +440,7 @@
 	}
 }
 
-// listenDatagrams returns a socket for datagrams that is closed with the test.
+// listenDatagrams returns a UDP socket that is closed when the test ends.
 func listenDatagrams(t *testing.T) net.PacketConn {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -448,8 +451,8 @@
 	return conn
 }
 
-// TestNothingNewAfterADrain checks that an engine whose drain is published gets no new
-// attempt later than the grace after it, and finishes what it has.
+// TestNothingNewAfterADrain checks that a draining engine receives no new attempt later than
+// the grace period after the drain was published, and that its running attempts finish.
 func TestNothingNewAfterADrain(t *testing.T) {
 	const slow = "UPDATE count_1.sheets"
 	engines := newEngines(t, 3, func(a fakes.Attempt) fakes.Response {
@@ -460,14 +463,14 @@
 		return response
 	})
 	f := start(t, deployment{fronts: 2, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
-		settingsSection(settings, "domain")["progressMs"] = 0 // no notes come, and none are missed
+		settingsSection(settings, "domain")["progressMs"] = 0 // engines need not send statuses
 	}}, engines)
 	const loadID = "f0000000000000c1"
 	var loads, lookups sync.WaitGroup
 	loads.Go(func() {
 		r := f.call(f.fronts[0], fakes.Request{ID: loadID, Class: load, Statement: slow, Timeout: 9 * time.Second})
 		if !r.Served() {
-			t.Errorf("the load that runs as its engine drains: status %d, %q", r.Status, r.Err)
+			t.Errorf("the load that is running while its engine drains: status %d, %q", r.Status, r.Err)
 		}
 	})
 	testprocess.Until(t, "the load's attempt", func() bool { return len(attemptsOf(engines, loadID)) == 1 })
@@ -493,12 +496,12 @@
 	lookups.Wait()
 	f.checkRules()
 	if made := attemptsOf(engines, loadID); len(made) != 1 || made[0].End != fakes.Answered {
-		t.Errorf("the load's attempts: %+v", made)
+		t.Errorf("attempts of the load: %+v, want one that was answered", made)
 	}
 }
 
-// TestInvalidSettingEndsTheProgram checks that a front end with a setting that can't be
-// used ends at once with one line that names it.
+// TestInvalidSettingEndsTheProgram checks that a front end with an invalid setting exits with
+// status 1 and logs one line that names the setting.
 func TestInvalidSettingEndsTheProgram(t *testing.T) {
 	engines := newEngines(t, 1, nil)
 	for key, change := range map[string]func(map[string]any){
@@ -517,7 +520,7 @@
 			env := []string{"PROXY_CONFIG=" + fr.path, "PROXY_NAME=", "PROXY_LISTEN=", "PROXY_CONTROL="}
 			p := testprocess.Start(t, env)
 			if code := p.Wait(); code != 1 || strings.Count(p.Log(), "\n") != 1 || !strings.Contains(p.Log(), key) {
-				t.Errorf("exit status %d, log %q", code, p.Log())
+				t.Errorf("exit status %d, want 1; log %q, want one line with %s", code, p.Log(), key)
 			}
 		})
 	}
--- a/internal/acceptance/protocolpage_test.go
+++ b/internal/acceptance/protocolpage_test.go
@@ -13,10 +13,11 @@
 
 const protocolPage = "../../docs/protocol.md"
 
+// namedTest matches the name of a test on the page, as package.Test.
 var namedTest = regexp.MustCompile(`\b([a-z]+)\.(Test[A-Za-z0-9]+)`)
 
-// TestProtocolPageNamesTests checks that each test that the page on the protocol names
-// exists in the package that it names, and that each row names one.
+// TestProtocolPageNamesTests checks that each test that the protocol page names exists in
+// the named package, and that each row of the page's tables names a test.
 func TestProtocolPageNamesTests(t *testing.T) {
 	page := readProtocolPage(t)
 	sources := map[string]string{}
@@ -26,19 +27,20 @@
 			sources[name] = testSources(t, name)
 		}
 		if !strings.Contains(sources[name], "\nfunc "+test+"(") {
-			t.Errorf("there is no %s in package %s", test, name)
+			t.Errorf("docs/protocol.md names %s, which does not exist in package %s", test, name)
 		}
 	}
 	for line := range strings.Lines(page) {
 		isRow := strings.HasPrefix(line, "| ") && !strings.HasPrefix(line, "| ---")
 		isHead := strings.HasSuffix(line, "| tests |\n")
 		if isRow && !isHead && !namedTest.MatchString(line) {
-			t.Errorf("no test in the row %.60q", line)
+			t.Errorf("docs/protocol.md names no test in the row %.60q", line)
 		}
 	}
 }
 
-// TestProtocolPageNamesSettings checks that the page names each setting that is read.
+// TestProtocolPageNamesSettings checks that the protocol page names each key of the settings
+// that the program reads.
 func TestProtocolPageNamesSettings(t *testing.T) {
 	page := readProtocolPage(t)
 	var check func(reflect.Type)
@@ -51,7 +53,7 @@
 				key, _, _ := strings.Cut(of.Field(i).Tag.Get("json"), ",")
 				named := regexp.MustCompile(`\b` + key + `\b`)
 				if !named.MatchString(page) {
-					t.Errorf("the page doesn't name %s", key)
+					t.Errorf("docs/protocol.md doesn't name the setting %s", key)
 				}
 				check(of.Field(i).Type)
 			}
@@ -70,7 +72,7 @@
 	return string(text)
 }
 
-// testSources returns the texts of a package's tests.
+// testSources returns the text of all test files of a package.
 func testSources(t *testing.T, name string) string {
 	t.Helper()
 	var all strings.Builder
--- a/internal/acceptance/tenant_test.go
+++ b/internal/acceptance/tenant_test.go
@@ -8,9 +8,9 @@
 	"dewhill/internal/fakes"
 )
 
-// TestTenantWithinItsQuota checks that a tenant who stays within its quota is served
-// while another one floods the front end far over its own, and likewise requests that
-// name no tenant.
+// TestTenantWithinItsQuota checks that a tenant that stays within its quota is served while
+// requests far beyond another quota flood the front end: requests of another tenant, requests
+// that name no tenant, or requests that name an unknown tenant.
 func TestTenantWithinItsQuota(t *testing.T) {
 	for _, flooding := range []string{"second", "", "unknown"} {
 		t.Run("flood of "+flooding, func(t *testing.T) {
@@ -42,16 +42,16 @@
 			f.checkRules()
 			t.Logf("served %v of %v", served, sent)
 			if served["first"]*10 < sent["first"]*8 {
-				t.Errorf("%d of %d were served of the tenant within its quota", served["first"], sent["first"])
+				t.Errorf("%d of %d requests of the tenant within its quota were served, want 80%%", served["first"], sent["first"])
 			}
 			if served[flooding]*2 > sent[flooding] {
-				t.Errorf("%d of %d were served of the flood: the engine was not overloaded", served[flooding], sent[flooding])
+				t.Errorf("%d of %d requests of the flood were served: the engine was not overloaded", served[flooding], sent[flooding])
 			}
 		})
 	}
 }
 
-// newQueueingEngine is an engine that runs its attempts one after another.
+// newQueueingEngine starts an engine that runs its attempts one after another.
 func newQueueingEngine(t *testing.T, duration time.Duration) *fakes.Engine {
 	var mu sync.Mutex
 	var busyUntil time.Time
--- a/internal/faultplan/faultplan.go
+++ b/internal/faultplan/faultplan.go
@@ -22,7 +22,7 @@
 	PacketLoss        Kind = iota // a fraction, Rate, of the datagrams is lost
 	PacketDelay                   // each datagram is delayed by up to DelayMS
 	PacketDuplication             // a fraction, Rate, of the datagrams arrives twice
-	PacketReordering              // a fraction, Rate, is delayed by DelayMS, so that later datagrams overtake it
+	PacketReordering              // a fraction, Rate, is delayed by DelayMS and overtaken by others
 	PacketCorruption              // a fraction, Rate, of the datagrams has a byte changed or is truncated
 	OneWayPartition               // no datagram from Targets reaches the other processes
 	Partition                     // no datagram passes between Targets and the other processes
