--- a/internal/acceptance/clock_test.go
+++ b/internal/acceptance/clock_test.go
@@ -8,11 +8,11 @@
 	"dewhill/internal/fakes"
 )
 
-// TestColdEngineByASteppedClock checks that slow start of a newly listed engine does not
+// TestSlowStartWithWrongClock checks that slow start of a newly listed engine does not
 // depend on the wall clock by which the endpoint list states the engine's start. With a
 // clock that is an hour off, the engine must receive about as many attempts as with a
 // correct clock, both during slow start and after it.
-func TestColdEngineByASteppedClock(t *testing.T) {
+func TestSlowStartWithWrongClock(t *testing.T) {
 	steps := []time.Duration{0, -time.Hour, time.Hour}
 	sent := make([]coldAttempts, len(steps))
 	t.Run("clocks", func(t *testing.T) {
--- a/internal/acceptance/incident_test.go
+++ b/internal/acceptance/incident_test.go
@@ -18,10 +18,10 @@
 		{After: duration / 2, Fields: "note=share,num=0.5"}}}
 }
 
-// TestStatusesEndNothing checks that a request whose engine sends statuses is served by its
+// TestStatusesDoNotEndAttempts checks that a request whose engine sends statuses is served by its
 // first attempt. (Incident of 2026-12-02: each status was treated as an error, so the request
 // was sent to a second engine while the first attempt was still running.)
-func TestStatusesEndNothing(t *testing.T) {
+func TestStatusesDoNotEndAttempts(t *testing.T) {
 	var engines []*fakes.Engine
 	for i := range 8 {
 		engines = append(engines, fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Response {
--- a/internal/acceptance/protocol_test.go
+++ b/internal/acceptance/protocol_test.go
@@ -58,10 +58,10 @@
 	return fr.process.Stop()[group].(map[string]any)
 }
 
-// TestAllTriesHaveOneIdempotencyKey checks that all attempts of an entry have its idempotency
+// TestAllAttemptsHaveOneIdempotencyKey checks that all attempts of an entry have its idempotency
 // key, and that a client's own retry, which has another request ID and the same key, is
 // accepted and forwarded with that key.
-func TestAllTriesHaveOneIdempotencyKey(t *testing.T) {
+func TestAllAttemptsHaveOneIdempotencyKey(t *testing.T) {
 	const firstID, retryID, token = "f0000000000000a1", "f0000000000000a2", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 	engines := newEngines(t, 3, func(a fakes.Attempt) fakes.Response {
 		if a.ID == firstID {
@@ -94,10 +94,10 @@
 	f.checkRules()
 }
 
-// TestNoRepeatAfterTheWindow checks that an entry that may have run is retried only within the
+// TestNoRetryAfterIdempotencyWindow checks that an entry that may have run is retried only within the
 // time for which engines deduplicate requests by the idempotency key, counted from its first
 // attempt.
-func TestNoRepeatAfterTheWindow(t *testing.T) {
+func TestNoRetryAfterIdempotencyWindow(t *testing.T) {
 	const window = 800 * time.Millisecond
 	failAfter := map[string]time.Duration{"early": 20 * time.Millisecond, "late": window + 100*time.Millisecond}
 	var mu sync.Mutex
@@ -131,10 +131,10 @@
 	f.checkRules()
 }
 
-// TestKeyRests checks that the next request of an order key is held for the time in the
+// TestOrderKeyIsHeldAfterUnconfirmedEnd checks that the next request of an order key is held for the time in the
 // settings, and sent soon after that time, if the last attempt of the key may still be running
 // because it timed out, was reset or was cancelled.
-func TestKeyRests(t *testing.T) {
+func TestOrderKeyIsHeldAfterUnconfirmedEnd(t *testing.T) {
 	const slack = 1500 * time.Millisecond // allowed on a busy host
 	for _, c := range []struct {
 		name     string
@@ -207,11 +207,11 @@
 	return list
 }
 
-// TestNotesReachTheDecisions checks that an attempt continues if its engine sends a well-formed
+// TestStatusesCountAsActivity checks that an attempt continues if its engine sends a well-formed
 // status each second, also with malformed statuses between them. An attempt whose engine sends
 // only malformed statuses counts as unresponsive: malformed statuses are dropped and counted;
 // they don't end the attempt by themselves, and they don't count as activity.
-func TestNotesReachTheDecisions(t *testing.T) {
+func TestStatusesCountAsActivity(t *testing.T) {
 	var mixed []string
 	for i, fields := range wellFormedStatuses {
 		mixed = append(mixed, malformedStatuses[2*i], fields, malformedStatuses[2*i+1])
@@ -263,10 +263,10 @@
 	}
 }
 
-// TestConnectTimeoutOfTheSettings checks that an attempt to connect to an unresponsive engine
+// TestConnectTimeout checks that an attempt to connect to an unresponsive engine
 // is abandoned after the time-out in the settings, and that the request, which was not sent,
 // is served by another engine.
-func TestConnectTimeoutOfTheSettings(t *testing.T) {
+func TestConnectTimeout(t *testing.T) {
 	const timeout, slack = 250 * time.Millisecond, 1500 * time.Millisecond
 	engines := newEngines(t, 1, func(a fakes.Attempt) fakes.Response {
 		return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
@@ -322,10 +322,10 @@
 	}
 }
 
-// TestNothingThatTheSettingsForbid checks that a front end sends no probes, priorities and
+// TestSettingsForbidProbesPrioritiesAndDatagrams checks that a front end sends no probes, priorities and
 // datagrams if the settings forbid them, although it has a peer. The second case shows that
 // the front end does send datagrams and priorities if the settings allow them.
-func TestNothingThatTheSettingsForbid(t *testing.T) {
+func TestSettingsForbidProbesPrioritiesAndDatagrams(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		t.Run(fmt.Sprint("allowed ", allowed), func(t *testing.T) {
 			var datagrams atomic.Int32
@@ -395,10 +395,10 @@
 // maxDatagramBytes bounds a datagram between front ends.
 const maxDatagramBytes = 256
 
-// TestDatagramsThatMeanNothing checks that datagrams from unknown senders, datagrams that are
+// TestInvalidDatagramsAreIgnored checks that datagrams from unknown senders, datagrams that are
 // too long and datagrams of an unknown kind are counted and have no effect, and that valid
 // datagrams of a peer are accepted.
-func TestDatagramsThatMeanNothing(t *testing.T) {
+func TestInvalidDatagramsAreIgnored(t *testing.T) {
 	engines := newEngines(t, 2, func(a fakes.Attempt) fakes.Response {
 		return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 	})
@@ -451,9 +451,9 @@
 	return conn
 }
 
-// TestNothingNewAfterADrain checks that a draining engine receives no new attempt later than
+// TestNoAttemptAfterDrain checks that a draining engine receives no new attempt later than
 // the grace period after the drain was published, and that its running attempts finish.
-func TestNothingNewAfterADrain(t *testing.T) {
+func TestNoAttemptAfterDrain(t *testing.T) {
 	const slow = "UPDATE count_1.sheets"
 	engines := newEngines(t, 3, func(a fakes.Attempt) fakes.Response {
 		response := fakes.Response{Duration: 20 * time.Millisecond, Pages: pagesOf(a.ID)}
