--- a/internal/mysql/harness_test.go
+++ b/internal/mysql/harness_test.go
@@ -17,7 +17,7 @@
 	"dewhill/internal/testprocess"
 )
 
-// deployment is the program with its MySQL front and fake engines.
+// deployment is the program with its MySQL front end, and fake engines.
 type deployment struct {
 	t       *testing.T
 	prog    *testprocess.Process
@@ -27,8 +27,8 @@
 	db      *sql.DB
 }
 
-// settings are decision settings with a class for reads and one for loads.
-const settings = `{"categories":[
+// decisionSettings are settings with one class for reads and one for loads.
+const decisionSettings = `{"categories":[
 	{"name":"lookup","aimMs":1000,"hardLimitMs":20000,"value":1,"effect":"pure"},
 	{"name":"load","aimMs":3000,"hardLimitMs":20000,"value":6,"effect":"side_effect","sequential":true}],
 	"hostTypes":["std-8"],"localities":["here"],"discovery":"push","replicasOfMe":1,"tickMs":5,
@@ -36,12 +36,13 @@
 	"contract":{"graceToAnswerMs":20,"stopSendingWithinMs":500},
 	"limits":{"cancel":true,"retryAfter":true,"maxRetryAfterMs":500,"tryLimit":5,"connectTimeoutMs":5000}}`
 
-// configured returns a configuration with so many fake engines.
-func configured(t *testing.T, engines int) (cfg mysql.Config, list []*mysql.FakeEngine) {
+// newConfig starts the given number of fake engines and returns a configuration that
+// lists them.
+func newConfig(t *testing.T, engines int) (cfg mysql.Config, list []*mysql.FakeEngine) {
 	t.Helper()
 	cfg = mysql.Config{Enabled: true, Listen: testprocess.FreeAddr(t), ReadClass: "lookup", LoadClass: "load",
 		Accounts: []mysql.Account{{User: "app", Password: "secret"}}}
-	if err := json.Unmarshal([]byte(settings), &cfg.Settings); err != nil {
+	if err := json.Unmarshal([]byte(decisionSettings), &cfg.Settings); err != nil {
 		t.Fatal(err)
 	}
 	for i := range engines {
@@ -52,22 +53,23 @@
 	return cfg, list
 }
 
-// deploy starts the program, with its configuration changed by a test.
+// deploy starts fake engines and the program. If change is not nil, it modifies the
+// configuration first.
 func deploy(t *testing.T, engines int, change func(*mysql.Config)) *deployment {
 	t.Helper()
 	d := &deployment{t: t}
-	d.cfg, d.engines = configured(t, engines)
+	d.cfg, d.engines = newConfig(t, engines)
 	if change != nil {
 		change(&d.cfg)
 	}
 	d.path = writeConfig(t, &d.cfg)
 	d.prog = testprocess.Start(t, []string{"PROXY_CONFIG="}, "-mysql", d.path)
-	d.db = open(t, "app:secret@tcp("+d.cfg.Listen+")/trips")
+	d.db = openDatabase(t, "app:secret@tcp("+d.cfg.Listen+")/trips")
 	return d
 }
 
-// write writes the configuration file again.
-func (d *deployment) write() {
+// rewriteConfig writes the current configuration to the configuration file.
+func (d *deployment) rewriteConfig() {
 	d.t.Helper()
 	writeConfigTo(d.t, d.path, &d.cfg)
 }
@@ -91,8 +93,8 @@
 	}
 }
 
-// open opens a database at a front end and waits until a login succeeds.
-func open(t *testing.T, dsn string) *sql.DB {
+// openDatabase opens a database through a front end and waits until a login succeeds.
+func openDatabase(t *testing.T, dsn string) *sql.DB {
 	t.Helper()
 	db, err := sql.Open("mysql", dsn)
 	if err != nil {
@@ -106,7 +108,7 @@
 	return db
 }
 
-// ran counts the runs of statements with a prefix.
+// ran returns how often the engines ran statements with a prefix.
 func (d *deployment) ran(prefix string) (n int) {
 	for _, e := range d.engines {
 		n += e.Ran(prefix)
@@ -114,15 +116,16 @@
 	return n
 }
 
-// set sets the behaviour of all engines.
-func (d *deployment) set(on func(step, sql string) string) {
+// setBehaviour sets the behaviour of all engines.
+func (d *deployment) setBehaviour(on func(step, sql string) string) {
 	for _, e := range d.engines {
 		e.Set(on)
 	}
 }
 
-// once makes one step of one statement fail, the first time only.
-func once(step, sql, act string) func(string, string) string {
+// failOnce returns a behaviour of engines in which the given step fails the first time
+// it is reached by a statement with the prefix sql. act says how the step fails.
+func failOnce(step, sql, act string) func(string, string) string {
 	var mu sync.Mutex
 	done := false
 	return func(s, q string) string {
@@ -136,8 +139,8 @@
 	}
 }
 
-// code returns the number and SQL state of an error, 0 if it is not MySQL's.
-func code(err error) (uint16, string) {
+// mysqlError returns the number and SQLSTATE of a MySQL error, and 0 for other errors.
+func mysqlError(err error) (uint16, string) {
 	var e *driver.MySQLError
 	if errors.As(err, &e) {
 		return e.Number, string(e.SQLState[:])
@@ -145,7 +148,7 @@
 	return 0, ""
 }
 
-// exec runs a statement, which must succeed.
+// exec runs a statement and reports a test error if the statement fails.
 func (d *deployment) exec(statement string, args ...any) {
 	d.t.Helper()
 	if _, err := d.db.Exec(statement, args...); err != nil {
@@ -155,7 +158,7 @@
 
 func (d *deployment) wantCode(err error, number uint16, state string) {
 	d.t.Helper()
-	if n, s := code(err); n != number || s != state {
+	if n, s := mysqlError(err); n != number || s != state {
 		d.t.Errorf("error %v, want %d (%s)", err, number, state)
 	}
 }
