--- a/internal/acceptance/faults_test.go
+++ b/internal/acceptance/faults_test.go
@@ -60,7 +60,7 @@
 		return fakes.Response{Duration: duration, Raw: ack + ack}
 	case 8: // a reply to an unknown ID, then the correct reply
 		return fakes.Response{Duration: duration, Raw: "ffffffffffffffff EVENT note=share,num=0.3 0\r\n\r\n" + ack}
-	case 9: // half a reply without the rest
+	case 9: // half a reply; the other half is never sent
 		return fakes.Response{Duration: duration, Raw: ack[:len(ack)/2]}
 	case 10: // a status after the last reply
 		return fakes.Response{Duration: duration, Raw: ack + a.ID + " EVENT note=share,num=1 0\r\n\r\n"}
@@ -191,8 +191,8 @@
 	}
 }
 
-// injectDiscoveryFault injects a fault between front ends and the discovery service. From then
-// on, front ends need to have received an update only maxDiscoveryDelay after its publication.
+// injectDiscoveryFault injects a fault between front ends and the discovery service. The rules
+// allow for a delay of maxDiscoveryDelay in all updates that are published from then on.
 func (f *fleet) injectDiscoveryFault(all *sync.WaitGroup, m fakes.Mode, duration time.Duration) {
 	f.mu.Lock()
 	isDisrupted := f.discoveryDelay > 0
--- a/internal/acceptance/fleet_test.go
+++ b/internal/acceptance/fleet_test.go
@@ -24,8 +24,8 @@
 }
 
 // The classes of the settings: lookups and reports, which are idempotent; entries, which
-// engines deduplicate by the idempotency key and which run in the order of their order key;
-// and loads, which must not run twice.
+// engines deduplicate by the idempotency key and which run in order for each order key; and
+// loads, which must not run twice.
 const (
 	lookup = "lookup"
 	report = "report"
--- a/internal/acceptance/incident_test.go
+++ b/internal/acceptance/incident_test.go
@@ -18,9 +18,9 @@
 		{After: duration / 2, Fields: "note=share,num=0.5"}}}
 }
 
-// TestStatusesDoNotEndAttempts checks that a request whose engine sends statuses is served by its
-// first attempt. (Incident of 2026-12-02: each status was treated as an error, so the request
-// was sent to a second engine while the first attempt was still running.)
+// TestStatusesDoNotEndAttempts checks that a request whose engine sends statuses is served by
+// its first attempt. (Incident of 2026-12-02: each status was treated as an error, so the
+// request was sent to a second engine while the first attempt was still running.)
 func TestStatusesDoNotEndAttempts(t *testing.T) {
 	var engines []*fakes.Engine
 	for i := range 8 {
--- a/internal/acceptance/protocol_test.go
+++ b/internal/acceptance/protocol_test.go
@@ -94,9 +94,9 @@
 	f.checkRules()
 }
 
-// TestNoRetryAfterIdempotencyWindow checks that an entry that may have run is retried only within the
-// time for which engines deduplicate requests by the idempotency key, counted from its first
-// attempt.
+// TestNoRetryAfterIdempotencyWindow checks that an entry that may have run is retried only
+// within the time for which engines deduplicate requests by the idempotency key, counted from
+// its first attempt.
 func TestNoRetryAfterIdempotencyWindow(t *testing.T) {
 	const window = 800 * time.Millisecond
 	failAfter := map[string]time.Duration{"early": 20 * time.Millisecond, "late": window + 100*time.Millisecond}
@@ -131,9 +131,9 @@
 	f.checkRules()
 }
 
-// TestOrderKeyIsHeldAfterUnconfirmedEnd checks that the next request of an order key is held for the time in the
-// settings, and sent soon after that time, if the last attempt of the key may still be running
-// because it timed out, was reset or was cancelled.
+// TestOrderKeyIsHeldAfterUnconfirmedEnd checks that the next request of an order key is held
+// for the time in the settings, and sent soon after that time, if the last attempt of the key
+// may still be running because it timed out, was reset or was cancelled.
 func TestOrderKeyIsHeldAfterUnconfirmedEnd(t *testing.T) {
 	const slack = 1500 * time.Millisecond // allowed on a busy host
 	for _, c := range []struct {
@@ -263,9 +263,9 @@
 	}
 }
 
-// TestConnectTimeout checks that an attempt to connect to an unresponsive engine
-// is abandoned after the time-out in the settings, and that the request, which was not sent,
-// is served by another engine.
+// TestConnectTimeout checks that an attempt to connect to an unresponsive engine is abandoned
+// after the time-out in the settings, and that the request, which was not sent, is served by
+// another engine.
 func TestConnectTimeout(t *testing.T) {
 	const timeout, slack = 250 * time.Millisecond, 1500 * time.Millisecond
 	engines := newEngines(t, 1, func(a fakes.Attempt) fakes.Response {
@@ -322,9 +322,9 @@
 	}
 }
 
-// TestSettingsForbidProbesPrioritiesAndDatagrams checks that a front end sends no probes, priorities and
-// datagrams if the settings forbid them, although it has a peer. The second case shows that
-// the front end does send datagrams and priorities if the settings allow them.
+// TestSettingsForbidProbesPrioritiesAndDatagrams checks that a front end sends no probes,
+// priorities or datagrams if the settings forbid them, although it has a peer. The second case
+// shows that the front end does send datagrams and priorities if the settings allow them.
 func TestSettingsForbidProbesPrioritiesAndDatagrams(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		t.Run(fmt.Sprint("allowed ", allowed), func(t *testing.T) {
