--- a/internal/faulttest/fleet.go
+++ b/internal/faulttest/fleet.go
@@ -9,7 +9,7 @@
 //   - fleet.go: the fleet and its processes
 //   - config.go: the configuration files of a front end
 //   - relay.go: the network between front ends
-//   - play.go: injecting the faults of a timeline
+//   - timeline.go: injecting the faults of a timeline
 //   - view.go: the front ends' views of the fleet, read by the operators' API
 //   - clients.go: clients' requests and the rules that must hold for them
 package faulttest
