--- a/internal/acceptance/clock_test.go
+++ b/internal/acceptance/clock_test.go
@@ -45,8 +45,8 @@
 func callWithColdEngine(t *testing.T, step time.Duration) coldAttempts {
 	t.Helper()
 	const slowStart = 3 * time.Second
-	respond := func(a fakes.Attempt) fakes.Response {
-		return fakes.Response{Duration: 100 * time.Millisecond, Pages: pagesOf(a.ID)}
+	respond := func(a fakes.Attempt) fakes.Behavior {
+		return fakes.Behavior{Duration: 100 * time.Millisecond, Pages: pagesOf(a.ID)}
 	}
 	engines := []*fakes.Engine{fakes.NewEngine(t, "s-warm", respond), fakes.NewEngine(t, "s-cold", respond)}
 	configure := func(_ *fakes.ProgramConfig, settings map[string]any) {
--- a/internal/acceptance/faults_test.go
+++ b/internal/acceptance/faults_test.go
@@ -24,12 +24,12 @@
 
 // faultyResponse draws what an engine does with an attempt. About one in four has a
 // fault that the protocol, the network or a faulty engine may show.
-func faultyResponse(rng *rand.Rand, a fakes.Attempt) fakes.Response {
+func faultyResponse(rng *rand.Rand, a fakes.Attempt) fakes.Behavior {
 	duration := time.Duration(10+rng.IntN(80)) * time.Millisecond
 	if a.Fields["c"] == entry { // the next of its key comes while it runs
 		duration *= 8
 	}
-	good := fakes.Response{Duration: duration, Pages: pagesOf(a.ID)}
+	good := fakes.Behavior{Duration: duration, Pages: pagesOf(a.ID)}
 	ack := fakes.ResultReply(a.ID, "batches=1,cpu=1,used=1", strings.Join(good.Pages, ""))
 	notes := func(fields ...string) []fakes.StatusNote {
 		var list []fakes.StatusNote
@@ -40,30 +40,30 @@
 	}
 	switch rng.IntN(40) {
 	case 0:
-		return fakes.Response{Duration: duration, Verb: "EIO"}
+		return fakes.Behavior{Duration: duration, Verb: "EIO"}
 	case 1:
-		return fakes.Response{Duration: duration / 8, Verb: "AGAIN"}
+		return fakes.Behavior{Duration: duration / 8, Verb: "AGAIN"}
 	case 2:
-		return fakes.Response{Duration: duration / 8, Verb: "STALE"}
+		return fakes.Behavior{Duration: duration / 8, Verb: "STALE"}
 	case 3:
-		return fakes.Response{NeverAnswers: true, Notes: notes("note=share,num=0.1")}
+		return fakes.Behavior{NeverReplies: true, Notes: notes("note=share,num=0.1")}
 	case 4:
-		return fakes.Response{Duration: duration, Reset: true}
+		return fakes.Behavior{Duration: duration, Reset: true}
 	case 5: // an unknown verb, while the attempt goes on
 		good.Notes, good.Duration = []fakes.StatusNote{}, 20*duration
-		good.First = a.ID + " LATER - 0\r\n\r\n"
+		good.RawPrefix = a.ID + " LATER - 0\r\n\r\n"
 		return good
 	case 6: // malformed statuses
 		good.Notes = notes("note=share,num=7", "note=held", "num=3", "note=short,num=NaN", "note=other,num=1", "note=share,num=0.5")
 		return good
 	case 7: // a duplicate reply
-		return fakes.Response{Duration: duration, Raw: ack + ack}
+		return fakes.Behavior{Duration: duration, RawReply: ack + ack}
 	case 8: // a reply to an unknown id, then the right one
-		return fakes.Response{Duration: duration, Raw: "ffffffffffffffff EVENT note=share,num=0.3 0\r\n\r\n" + ack}
+		return fakes.Behavior{Duration: duration, RawReply: "ffffffffffffffff EVENT note=share,num=0.3 0\r\n\r\n" + ack}
 	case 9: // half a reply, and then nothing
-		return fakes.Response{Duration: duration, Raw: ack[:len(ack)/2]}
+		return fakes.Behavior{Duration: duration, RawReply: ack[:len(ack)/2]}
 	case 10: // a status after the last reply
-		return fakes.Response{Duration: duration, Raw: ack + a.ID + " EVENT note=share,num=1 0\r\n\r\n"}
+		return fakes.Behavior{Duration: duration, RawReply: ack + a.ID + " EVENT note=share,num=1 0\r\n\r\n"}
 	default:
 		good.Notes = notes("note=held,num=2", "-", "note=share,num=0.4", "note=short,num=12.5")[:rng.IntN(5)]
 		return good
@@ -88,7 +88,7 @@
 	var relays []*fakes.Relay
 	var hosts []fakes.Endpoint
 	for i := range *servers {
-		e := &fakes.Engine{ID: fmt.Sprintf("s-%d", i), Respond: func(a fakes.Attempt) fakes.Response {
+		e := &fakes.Engine{ID: fmt.Sprintf("s-%d", i), Handle: func(a fakes.Attempt) fakes.Behavior {
 			mu.Lock()
 			defer mu.Unlock()
 			return faultyResponse(draws, a)
@@ -180,10 +180,10 @@
 			continue
 		}
 		mode := []fakes.Mode{fakes.Delay, fakes.Close}[rng.IntN(2)]
-		relays[k].Set(mode)
+		relays[k].SetMode(mode)
 		all.Go(func() {
 			time.Sleep(faultDuration)
-			relays[k].Set(fakes.Pass)
+			relays[k].SetMode(fakes.Pass)
 		})
 	}
 }
@@ -198,10 +198,10 @@
 	if disrupted {
 		return
 	}
-	f.discoveryRelay.Set(m)
+	f.discoveryRelay.SetMode(m)
 	all.Go(func() {
 		time.Sleep(duration)
-		f.discoveryRelay.Set(fakes.Pass)
+		f.discoveryRelay.SetMode(fakes.Pass)
 	})
 }
 
--- a/internal/acceptance/fleet_test.go
+++ b/internal/acceptance/fleet_test.go
@@ -83,7 +83,7 @@
 	fronts         []*frontEnd
 
 	mu        sync.Mutex
-	replies   []fakes.Reply
+	replies   []fakes.Outcome
 	drainedAt map[string]time.Time
 	// restarts are those of front ends, by address, and kills when they were killed.
 	restarts       map[string][]fakes.Restart
@@ -169,7 +169,7 @@
 // published so far, as a platform does before it starts a process.
 func (f *fleet) refresh(fr *frontEnd) {
 	f.t.Helper()
-	fr.config.KnownUpdates, _ = f.discovery.Since(0)
+	fr.config.InitialUpdates, _ = f.discovery.UpdatesAfter(0)
 	if err := fr.config.Write(fr.path); err != nil {
 		f.t.Error(err)
 	}
@@ -183,7 +183,7 @@
 }
 
 // call sends a request to a front end and records the reply.
-func (f *fleet) call(fr *frontEnd, q fakes.Request) fakes.Reply {
+func (f *fleet) call(fr *frontEnd, q fakes.Request) fakes.Outcome {
 	f.mu.Lock()
 	f.requestCount++
 	number := f.requestCount
--- a/internal/acceptance/incident_test.go
+++ b/internal/acceptance/incident_test.go
@@ -12,8 +12,8 @@
 
 // responseWithStatuses is a response with the statuses that the protocol allows before
 // the last reply: what the attempt waits for or lacks, then its progress.
-func responseWithStatuses(a fakes.Attempt, takes time.Duration) fakes.Response {
-	return fakes.Response{Duration: takes, Pages: pagesOf(a.ID), Notes: []fakes.StatusNote{
+func responseWithStatuses(a fakes.Attempt, takes time.Duration) fakes.Behavior {
+	return fakes.Behavior{Duration: takes, Pages: pagesOf(a.ID), Notes: []fakes.StatusNote{
 		{Fields: "note=held,num=2"}, {Fields: "-"}, {After: takes / 4, Fields: "note=short,num=96"},
 		{After: takes / 2, Fields: "note=share,num=0.5"}}}
 }
@@ -24,7 +24,7 @@
 func TestStatusesEndNothing(t *testing.T) {
 	var engines []*fakes.Engine
 	for i := range 8 {
-		engines = append(engines, fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Response {
+		engines = append(engines, fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Behavior {
 			return responseWithStatuses(a, 150*time.Millisecond)
 		}))
 	}
@@ -55,14 +55,14 @@
 	attempts := map[string]int{}
 	var engines []*fakes.Engine
 	for i := range 3 {
-		engines = append(engines, fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Response {
+		engines = append(engines, fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Behavior {
 			mu.Lock()
 			defer mu.Unlock()
 			attempts[a.ID]++
 			if attempts[a.ID] == 1 && len(attempts) <= 2 { // as many retries as the budget allows
-				return fakes.Response{Verb: "EIO"} // it may have run, and the retry has its key
+				return fakes.Behavior{Verb: "EIO"} // it may have run, and the retry has its key
 			}
-			return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
+			return fakes.Behavior{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 		}))
 	}
 	f := start(t, deployment{fronts: 1, cores: 8}, engines)
@@ -103,8 +103,8 @@
 	const minServed = 100
 	served := make([]*fakes.Engine, 8) // real ones; the rest of the list leads to the same addresses
 	for i := range served {
-		served[i] = fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Response {
-			return fakes.Response{Duration: 20 * time.Millisecond, Pages: pagesOf(a.ID)}
+		served[i] = fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Behavior {
+			return fakes.Behavior{Duration: 20 * time.Millisecond, Pages: pagesOf(a.ID)}
 		})
 	}
 	hosts := make([]fakes.Endpoint, size)
--- a/internal/acceptance/protocol_test.go
+++ b/internal/acceptance/protocol_test.go
@@ -33,7 +33,7 @@
 }
 
 // newEngines starts so many engines that respond alike.
-func newEngines(t *testing.T, count int, respond func(fakes.Attempt) fakes.Response) []*fakes.Engine {
+func newEngines(t *testing.T, count int, respond func(fakes.Attempt) fakes.Behavior) []*fakes.Engine {
 	t.Helper()
 	var engines []*fakes.Engine
 	for i := range count {
@@ -63,14 +63,14 @@
 // taken and forwarded with it.
 func TestAllTriesHaveOneIdempotencyKey(t *testing.T) {
 	const firstID, retryID, token = "f0000000000000a1", "f0000000000000a2", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-	engines := newEngines(t, 3, func(a fakes.Attempt) fakes.Response {
+	engines := newEngines(t, 3, func(a fakes.Attempt) fakes.Behavior {
 		if a.ID == firstID {
-			return fakes.Response{Verb: "EIO"} // it may have run
+			return fakes.Behavior{Verb: "EIO"} // it may have run
 		}
-		return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
+		return fakes.Behavior{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 	})
 	f := start(t, deployment{fronts: 1, cores: 8}, engines)
-	call := func(id string) fakes.Reply {
+	call := func(id string) fakes.Outcome {
 		return f.call(f.fronts[0], fakes.Request{
 			ID: id, Class: entry, Key: "set-1", IdempotencyKey: token, Statement: "INSERT", Timeout: 4 * time.Second,
 		})
@@ -101,20 +101,20 @@
 	failAfter := map[string]time.Duration{"early": 20 * time.Millisecond, "late": window + 100*time.Millisecond}
 	var mu sync.Mutex
 	attempts := map[string]int{}
-	engines := newEngines(t, 3, func(a fakes.Attempt) fakes.Response {
+	engines := newEngines(t, 3, func(a fakes.Attempt) fakes.Behavior {
 		mu.Lock()
 		defer mu.Unlock()
 		attempts[a.ID]++
 		if attempts[a.ID] == 1 {
-			return fakes.Response{Duration: failAfter[a.Statement], Verb: "EIO"}
+			return fakes.Behavior{Duration: failAfter[a.Statement], Verb: "EIO"}
 		}
-		return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
+		return fakes.Behavior{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 	})
 	f := start(t, deployment{fronts: 1, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
 		classOf(settings, entry)["windowMs"] = window.Milliseconds()
 		settingsOf(settings, "domain")["progressMs"] = 0 // no notes come, and none are missed
 	}}, engines)
-	call := func(statement string) fakes.Reply {
+	call := func(statement string) fakes.Outcome {
 		q := fakes.Request{Class: entry, Key: statement, Statement: statement, Timeout: 4 * time.Second}
 		return f.call(f.fronts[0], q)
 	}
@@ -138,26 +138,26 @@
 	for _, c := range []struct {
 		name     string
 		first    fakes.Request
-		response fakes.Response // to the first attempt
+		response fakes.Behavior // to the first attempt
 		end      fakes.End      // of the first attempt
 	}{
 		{
 			"time-out", fakes.Request{Timeout: 700 * time.Millisecond},
-			fakes.Response{NeverAnswers: true}, fakes.CancelledByClient,
+			fakes.Behavior{NeverReplies: true}, fakes.Cancelled,
 		},
 		{
 			"reset", fakes.Request{Timeout: 4 * time.Second},
-			fakes.Response{Duration: 600 * time.Millisecond, Reset: true}, fakes.Closed,
+			fakes.Behavior{Duration: 600 * time.Millisecond, Reset: true}, fakes.ConnectionClosed,
 		},
 		{
 			"cancel", fakes.Request{Timeout: 4 * time.Second, DisconnectAfter: 600 * time.Millisecond},
-			fakes.Response{NeverAnswers: true}, fakes.CancelledByClient,
+			fakes.Behavior{NeverReplies: true}, fakes.Cancelled,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var once sync.Once
-			engines := newEngines(t, 2, func(a fakes.Attempt) fakes.Response {
-				response := fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
+			engines := newEngines(t, 2, func(a fakes.Attempt) fakes.Behavior {
+				response := fakes.Behavior{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 				once.Do(func() { response = c.response })
 				return response
 			})
@@ -229,8 +229,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			const takes = 5 * noteInterval
 			var once sync.Once
-			engines := newEngines(t, 2, func(a fakes.Attempt) fakes.Response {
-				response := fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
+			engines := newEngines(t, 2, func(a fakes.Attempt) fakes.Behavior {
+				response := fakes.Behavior{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 				once.Do(func() {
 					response.Duration = takes
 					response.Notes = spread(c.notes, takes)
@@ -266,8 +266,8 @@
 // served elsewhere.
 func TestConnectTimeoutOfTheSettings(t *testing.T) {
 	const timeout, slack = 250 * time.Millisecond, 1500 * time.Millisecond
-	engines := newEngines(t, 1, func(a fakes.Attempt) fakes.Response {
-		return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
+	engines := newEngines(t, 1, func(a fakes.Attempt) fakes.Behavior {
+		return fakes.Behavior{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 	})
 	silent := endpoint(&fakes.Engine{ID: "s-silent", Addr: unreachableAddr(t)}, fakes.Active)
 	hosts := []fakes.Endpoint{endpoint(engines[0], fakes.Active), silent}
@@ -328,8 +328,8 @@
 		t.Run(fmt.Sprint("allowed ", allowed), func(t *testing.T) {
 			var datagrams atomic.Int32
 			peer := countDatagrams(t, &datagrams)
-			engines := newEngines(t, 3, func(a fakes.Attempt) fakes.Response {
-				return fakes.Response{Duration: 20 * time.Millisecond, Pages: pagesOf(a.ID)}
+			engines := newEngines(t, 3, func(a fakes.Attempt) fakes.Behavior {
+				return fakes.Behavior{Duration: 20 * time.Millisecond, Pages: pagesOf(a.ID)}
 			})
 			listen := testprocess.FreeAddr(t)
 			f := start(t, deployment{fronts: 1, replicas: 2, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
@@ -396,8 +396,8 @@
 // of a kind that is not known are counted and change nothing, and that those of a peer are
 // taken.
 func TestDatagramsThatMeanNothing(t *testing.T) {
-	engines := newEngines(t, 2, func(a fakes.Attempt) fakes.Response {
-		return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
+	engines := newEngines(t, 2, func(a fakes.Attempt) fakes.Behavior {
+		return fakes.Behavior{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 	})
 	peer, stranger := listenDatagrams(t), listenDatagrams(t)
 	listen := testprocess.FreeAddr(t)
@@ -452,8 +452,8 @@
 // attempt later than the grace after it, and finishes what it has.
 func TestNothingNewAfterADrain(t *testing.T) {
 	const slow = "UPDATE count_1.sheets"
-	engines := newEngines(t, 3, func(a fakes.Attempt) fakes.Response {
-		response := fakes.Response{Duration: 20 * time.Millisecond, Pages: pagesOf(a.ID)}
+	engines := newEngines(t, 3, func(a fakes.Attempt) fakes.Behavior {
+		response := fakes.Behavior{Duration: 20 * time.Millisecond, Pages: pagesOf(a.ID)}
 		if a.Statement == slow {
 			response.Duration = drainGrace + time.Second
 		}
@@ -492,7 +492,7 @@
 	over.Store(true)
 	lookups.Wait()
 	f.checkRules()
-	if made := attemptsOf(engines, loadID); len(made) != 1 || made[0].End != fakes.Answered {
+	if made := attemptsOf(engines, loadID); len(made) != 1 || made[0].End != fakes.Replied {
 		t.Errorf("the load's attempts: %+v", made)
 	}
 }
--- a/internal/acceptance/tenant_test.go
+++ b/internal/acceptance/tenant_test.go
@@ -55,7 +55,7 @@
 func newQueueingEngine(t *testing.T, duration time.Duration) *fakes.Engine {
 	var mu sync.Mutex
 	var busyUntil time.Time
-	return fakes.NewEngine(t, "s-1", func(a fakes.Attempt) fakes.Response {
+	return fakes.NewEngine(t, "s-1", func(a fakes.Attempt) fakes.Behavior {
 		mu.Lock()
 		defer mu.Unlock()
 		now := time.Now()
@@ -63,6 +63,6 @@
 			busyUntil = now
 		}
 		busyUntil = busyUntil.Add(duration)
-		return fakes.Response{Duration: busyUntil.Sub(now), Pages: pagesOf(a.ID)}
+		return fakes.Behavior{Duration: busyUntil.Sub(now), Pages: pagesOf(a.ID)}
 	})
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -104,7 +104,7 @@
 		t.Errorf("nine polls within %v", took)
 	}
 	cancel()
-	ninth.Answer(events(9, 9))
+	ninth.Respond(events(9, 9))
 	<-done
 	if want := []int64{2, 3, 4, 5, 6}; !slices.Equal(got, want) {
 		t.Errorf("delivered %v, want %v", got, want)
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -31,10 +31,10 @@
 // make one up.
 const NoIdempotencyKey = "none"
 
-// Reply is how a request ended, as its client saw it.
-type Reply struct {
+// Outcome is how a request ended, as its client saw it.
+type Outcome struct {
 	Request
-	Front         string // the address that it was sent to
+	FrontEndAddr  string // the address that it was sent to
 	Sent          time.Time
 	Ended         time.Time
 	Written       bool // completely, to a connection that was accepted
@@ -47,7 +47,7 @@
 }
 
 // Served reports whether the request was served completely.
-func (r *Reply) Served() bool { return r.Status == 200 && r.Err == "" && r.ProtocolError == "" }
+func (r *Outcome) Served() bool { return r.Status == 200 && r.Err == "" && r.ProtocolError == "" }
 
 // ResponseBody is the body of a response.
 type ResponseBody struct {
@@ -65,15 +65,15 @@
 
 // Call sends a request on a connection of its own, polls the paths that it is given,
 // and returns what came back.
-func Call(addr string, q Request) Reply {
-	r := Reply{Request: q, Front: addr, Sent: time.Now()}
+func Call(addr string, q Request) Outcome {
+	r := Outcome{Request: q, FrontEndAddr: addr, Sent: time.Now()}
 	r.exchange(addr)
 	r.Ended = time.Now()
 	return r
 }
 
 // exchange sends the request and reads its responses.
-func (r *Reply) exchange(addr string) {
+func (r *Outcome) exchange(addr string) {
 	conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 	if err != nil {
 		return
@@ -104,7 +104,7 @@
 
 // readResponse reads a response and returns the path to poll next; empty if there
 // is none.
-func (r *Reply) readResponse(reader *bufio.Reader) (path string) {
+func (r *Outcome) readResponse(reader *bufio.Reader) (path string) {
 	status, head, body, err := ReadResponse(reader)
 	if err != nil {
 		var netError net.Error
@@ -135,9 +135,9 @@
 	return status == 200
 }
 
-// CallOperators makes a call of the operators' API and returns the answer. Status 0:
+// CallOperatorAPI makes a call of the operators' API and returns the answer. Status 0:
 // there is none in time.
-func CallOperators(controlAddr, method, path string, timeout time.Duration) (status int, body []byte) {
+func CallOperatorAPI(controlAddr, method, path string, timeout time.Duration) (status int, body []byte) {
 	return callOnce(controlAddr, fmt.Sprintf("%s /control/%s HTTP/1.1\r\nHost: x\r\n\r\n", method, path), timeout)
 }
 
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -78,8 +78,8 @@
 	Conn       net.Conn
 }
 
-// Answer writes a response to the poll. Whether it arrives is for the test to see.
-func (p Poll) Answer(body string) {
+// Respond writes a response to the poll. Whether it arrives is for the test to see.
+func (p Poll) Respond(body string) {
 	_, _ = fmt.Fprintf(p.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
@@ -139,9 +139,9 @@
 	d.changed = make(chan struct{})
 }
 
-// Since returns the updates after a revision, and a channel that is closed when more
+// UpdatesAfter returns the updates after a revision, and a channel that is closed when more
 // are added.
-func (d *Discovery) Since(rev int) (Updates, <-chan struct{}) {
+func (d *Discovery) UpdatesAfter(rev int) (Updates, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	rev = min(max(rev, 0), len(d.updates))
@@ -197,7 +197,7 @@
 			Conn:       c,
 		})
 		if body := d.respond(poll); body != "" {
-			poll.Answer(body)
+			poll.Respond(body)
 		}
 	}
 }
@@ -232,13 +232,13 @@
 	if d.Script != nil {
 		return d.Script(p)
 	}
-	updates, more := d.Since(p.Revision)
+	updates, more := d.UpdatesAfter(p.Revision)
 	if len(updates.Updates) == 0 {
 		select {
 		case <-more:
 		case <-time.After(p.Linger):
 		}
-		updates, _ = d.Since(p.Revision)
+		updates, _ = d.UpdatesAfter(p.Revision)
 	}
 	return updates.JSON()
 }
--- a/internal/fakes/engine.go
+++ b/internal/fakes/engine.go
@@ -24,21 +24,21 @@
 
 // The ends of an attempt.
 const (
-	Running           End = ""         // it has not ended
-	Answered          End = "answered" // its last reply was written
-	CancelledByClient End = "given up" // KILL or DISCARD was received
-	Closed            End = "closed"   // with its connection
+	Running          End = ""         // it has not ended
+	Replied          End = "answered" // its last reply was written
+	Cancelled        End = "given up" // KILL or DISCARD was received
+	ConnectionClosed End = "closed"   // with its connection
 )
 
 // Attempt is one PULL that an engine received.
 type Attempt struct {
-	ID, Engine, Front   string // Front is the front end's address on the connection
-	Fields              map[string]string
-	RawFields           string // as they were received
-	Statement           string
-	ReceivedAt, EndedAt time.Time
-	End                 End
-	Verb                string // of the last reply, if it was answered
+	ID, Engine, FrontEndAddr string // Front is the front end's address on the connection
+	Fields                   map[string]string
+	RawFields                string // as they were received
+	Statement                string
+	ReceivedAt, EndedAt      time.Time
+	End                      End
+	Verb                     string // of the last reply, if it was answered
 }
 
 // StatusNote is a reply before the last one.
@@ -47,28 +47,28 @@
 	Fields string // as in note=share,num=0.4; "-" for none
 }
 
-// Response is what an engine does with a request.
-type Response struct {
-	First        string // written unchanged, at once
+// Behavior is what an engine does with a request.
+type Behavior struct {
+	RawPrefix    string // written unchanged, at once
 	Notes        []StatusNote
 	Duration     time.Duration // from the request to the reply
 	Verb         string        // of the reply; empty: ACK
 	Pages        []string      // of an ACK; empty: one page without rows
-	Raw          string        // written instead of a reply, and nothing after it
-	NeverAnswers bool
+	RawReply     string        // written instead of a reply, and nothing after it
+	NeverReplies bool
 	Reset        bool // the connection is reset instead of a reply
 }
 
 // mayHaveRun reports whether nothing recorded proves that the attempt never ran.
 func (a *Attempt) mayHaveRun() bool {
-	return a.End != Answered || a.Verb != "AGAIN" && a.Verb != "STALE"
+	return a.End != Replied || a.Verb != "AGAIN" && a.Verb != "STALE"
 }
 
 // Engine is a fake engine.
 type Engine struct {
 	ID, Addr string
-	// Respond decides what is done with a request; nil: it is answered at once.
-	Respond func(a Attempt) Response
+	// Handle decides what is done with a request; nil: it is answered at once.
+	Handle func(a Attempt) Behavior
 	// Script, if it is set, answers requests and commands for pages instead of Respond:
 	// what it returns is written unchanged, also what the protocol does not allow. While
 	// it blocks, nothing else is read from the connection.
@@ -101,9 +101,9 @@
 const ResetConnection = "reset"
 
 // NewEngine starts an engine on a free loopback address; it ends with the test.
-func NewEngine(t testing.TB, id string, do func(Attempt) Response) *Engine {
+func NewEngine(t testing.TB, id string, do func(Attempt) Behavior) *Engine {
 	t.Helper()
-	e := &Engine{ID: id, Respond: do}
+	e := &Engine{ID: id, Handle: do}
 	e.Start(t)
 	return e
 }
--- a/internal/fakes/platform.go
+++ b/internal/fakes/platform.go
@@ -16,7 +16,7 @@
 	Peers            []string        `json:"peers,omitempty"`
 	DiscoveryAddress string          `json:"board"`
 	ControlAddress   string          `json:"control,omitempty"`
-	KnownUpdates     Updates         `json:"known"`
+	InitialUpdates   Updates         `json:"known"`
 	Settings         json.RawMessage `json:"settings"`
 }
 
--- a/internal/fakes/relay.go
+++ b/internal/fakes/relay.go
@@ -36,8 +36,8 @@
 	return r
 }
 
-// Set changes the relay's mode.
-func (r *Relay) Set(m Mode) {
+// SetMode changes the relay's mode.
+func (r *Relay) SetMode(m Mode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mode = m
--- a/internal/fakes/rules.go
+++ b/internal/fakes/rules.go
@@ -61,7 +61,7 @@
 // checker collects the broken rules that the records show.
 type checker struct {
 	rules    *Rules
-	replies  []Reply
+	replies  []Outcome
 	attempts map[string][]Attempt // by request, in order of arrival
 	broken   []string
 }
@@ -71,7 +71,7 @@
 }
 
 // Check returns the broken rules that the records of clients and engines show.
-func (rules *Rules) Check(replies []Reply, engines []*Engine) (broken []string) {
+func (rules *Rules) Check(replies []Outcome, engines []*Engine) (broken []string) {
 	c := &checker{rules: rules, replies: replies, attempts: map[string][]Attempt{}}
 	c.collectAttempts(engines)
 	c.checkAttempts()
@@ -104,7 +104,7 @@
 
 // checkAttempts checks each request's attempts against the request.
 func (c *checker) checkAttempts() {
-	replies := map[string]*Reply{}
+	replies := map[string]*Outcome{}
 	for i := range c.replies {
 		replies[c.replies[i].ID] = &c.replies[i]
 	}
@@ -143,11 +143,11 @@
 	for i := range c.replies {
 		r := &c.replies[i]
 		if r.Written {
-			requests[r.Front] = append(requests[r.Front], r.Sent)
+			requests[r.FrontEndAddr] = append(requests[r.FrontEndAddr], r.Sent)
 		}
 		for k, a := range c.attempts[r.ID] {
 			if k > 0 {
-				retries[r.Front] = append(retries[r.Front], a.ReceivedAt)
+				retries[r.FrontEndAddr] = append(retries[r.FrontEndAddr], a.ReceivedAt)
 			}
 		}
 	}
@@ -194,7 +194,7 @@
 
 // checkNotIdempotent checks that a request that must not run twice was retried, or
 // rejected, only if every attempt before provably never ran.
-func (c *checker) checkNotIdempotent(r *Reply, attempts []Attempt) {
+func (c *checker) checkNotIdempotent(r *Outcome, attempts []Attempt) {
 	if !c.rules.NotIdempotentClasses[r.Class] {
 		return
 	}
@@ -215,7 +215,7 @@
 }
 
 // forwardingErrors returns how an attempt differs from its client's request.
-func forwardingErrors(r *Reply, a Attempt) (wrong []string) {
+func forwardingErrors(r *Outcome, a Attempt) (wrong []string) {
 	if a.Fields["c"] != r.Class {
 		wrong = append(wrong, fmt.Sprintf("class %q, sent as %q", a.Fields["c"], r.Class))
 	}
@@ -254,7 +254,7 @@
 }
 
 // checkReply checks that a request that was taken got one complete answer in time.
-func (c *checker) checkReply(r *Reply) {
+func (c *checker) checkReply(r *Outcome) {
 	if !r.Written || r.Disconnected || c.rules.frontKilled(r) {
 		return
 	}
@@ -270,8 +270,8 @@
 }
 
 // frontKilled reports whether the front end of a request was killed while it was open.
-func (rules *Rules) frontKilled(r *Reply) bool {
-	return slices.ContainsFunc(rules.KilledAt[r.Front], func(t time.Time) bool {
+func (rules *Rules) frontKilled(r *Outcome) bool {
+	return slices.ContainsFunc(rules.KilledAt[r.FrontEndAddr], func(t time.Time) bool {
 		return !t.Before(r.Sent.Add(-Tolerance)) && !t.After(r.Ended.Add(Tolerance))
 	})
 }
@@ -280,7 +280,7 @@
 // time, in the order in which their clients sent them. Clients of one key must leave
 // time between any two.
 func (c *checker) checkOrder() {
-	byKey := map[string][]*Reply{}
+	byKey := map[string][]*Outcome{}
 	for i := range c.replies {
 		r := &c.replies[i]
 		if r.Key != "" && c.rules.OrderedClasses[r.Class] {
@@ -289,7 +289,7 @@
 	}
 	for _, key := range sortedKeys(byKey) {
 		requests := byKey[key]
-		slices.SortFunc(requests, func(a, b *Reply) int { return cmp.Or(a.Sent.Compare(b.Sent), cmp.Compare(a.ID, b.ID)) })
+		slices.SortFunc(requests, func(a, b *Outcome) int { return cmp.Or(a.Sent.Compare(b.Sent), cmp.Compare(a.ID, b.ID)) })
 		for i, first := range requests {
 			for _, next := range requests[i+1:] {
 				c.checkPair(key, first, next)
@@ -299,7 +299,7 @@
 }
 
 // checkPair checks the order of two requests with one key.
-func (c *checker) checkPair(key string, first, next *Reply) {
+func (c *checker) checkPair(key string, first, next *Outcome) {
 	if c.rules.restarted(first, next) {
 		return
 	}
@@ -310,8 +310,8 @@
 
 // restarted reports whether a front end was restarted between two requests: a process
 // keeps the order only of those that it has taken itself.
-func (rules *Rules) restarted(first, later *Reply) bool {
-	return slices.ContainsFunc(rules.Restarts[first.Front], func(r Restart) bool { return r.overlaps(first.Sent, later.Ended) })
+func (rules *Rules) restarted(first, later *Outcome) bool {
+	return slices.ContainsFunc(rules.Restarts[first.FrontEndAddr], func(r Restart) bool { return r.overlaps(first.Sent, later.Ended) })
 }
 
 // orderViolation returns how attempts of a later request overlapped those of an earlier
@@ -320,7 +320,7 @@
 	for _, a := range first {
 		for _, b := range later {
 			rest := -Tolerance
-			if a.End != Answered {
+			if a.End != Replied {
 				rest += rules.KeySettle
 			}
 			if a.End == Running || a.EndedAt.Add(rest).After(b.ReceivedAt) {
--- a/internal/fakes/session.go
+++ b/internal/fakes/session.go
@@ -54,7 +54,7 @@
 	case verb == "SCROLL" && len(arguments) == 2:
 		return s.sendPage(arguments[0], arguments[1])
 	case (verb == "KILL" || verb == "DISCARD") && len(arguments) == 1:
-		s.endAttempt(arguments[0], CancelledByClient)
+		s.endAttempt(arguments[0], Cancelled)
 	case verb == "BOOST" && len(arguments) == 2:
 	case (verb == "ECHO" || verb == "METER") && len(arguments) == 1:
 		s.send("%s", emptyReply(arguments[0], "READY"))
@@ -120,21 +120,21 @@
 // goes on.
 func (s *session) startAttempt(id, fields, statement string) bool {
 	a := &Attempt{
-		ID:         id,
-		Engine:     s.engine.ID,
-		Front:      s.conn.RemoteAddr().String(),
-		Fields:     s.parseFields(id, fields),
-		RawFields:  fields,
-		Statement:  statement,
-		ReceivedAt: time.Now(),
+		ID:           id,
+		Engine:       s.engine.ID,
+		FrontEndAddr: s.conn.RemoteAddr().String(),
+		Fields:       s.parseFields(id, fields),
+		RawFields:    fields,
+		Statement:    statement,
+		ReceivedAt:   time.Now(),
 	}
 	recorded := s.record(a)
 	if s.engine.Script != nil {
 		return s.runScript(Command{ID: id, Statement: statement})
 	}
-	response := Response{}
-	if s.engine.Respond != nil {
-		response = s.engine.Respond(recorded)
+	response := Behavior{}
+	if s.engine.Handle != nil {
+		response = s.engine.Handle(recorded)
 	}
 	go s.respond(a, response)
 	return true
@@ -149,7 +149,7 @@
 		return false
 	}
 	if answer != "" {
-		s.endAttempt(c.ID, Answered)
+		s.endAttempt(c.ID, Replied)
 		s.send("%s", answer)
 	}
 	return true
@@ -180,10 +180,10 @@
 }
 
 // respond sends a response, as long as the attempt is open.
-func (s *session) respond(a *Attempt, r Response) {
+func (s *session) respond(a *Attempt, r Behavior) {
 	started := time.Now()
-	if r.First != "" {
-		s.send("%s", r.First)
+	if r.RawPrefix != "" {
+		s.send("%s", r.RawPrefix)
 	}
 	for _, note := range r.Notes {
 		time.Sleep(time.Until(started.Add(note.After)))
@@ -192,7 +192,7 @@
 		}
 		s.send("%s EVENT %s 0\r\n\r\n", a.ID, note.Fields)
 	}
-	if r.NeverAnswers {
+	if r.NeverReplies {
 		return
 	}
 	time.Sleep(time.Until(started.Add(r.Duration)))
@@ -202,12 +202,12 @@
 }
 
 // sendLast sends the last reply of an attempt.
-func (s *session) sendLast(a *Attempt, r Response) {
+func (s *session) sendLast(a *Attempt, r Behavior) {
 	switch {
 	case r.Reset:
 		reset(s.conn)
-	case r.Raw != "":
-		s.send("%s", r.Raw)
+	case r.RawReply != "":
+		s.send("%s", r.RawReply)
 		s.answered(a.ID, "ACK")
 	case r.Verb != "" && r.Verb != "ACK":
 		s.answered(a.ID, r.Verb)
@@ -265,7 +265,7 @@
 		a.Verb = verb
 	}
 	s.engine.mu.Unlock()
-	s.endAttempt(id, Answered)
+	s.endAttempt(id, Replied)
 }
 
 // endAttempt records an attempt's end, if it is open.
@@ -277,7 +277,7 @@
 		a.EndedAt = time.Now()
 		delete(s.attempts, id)
 	}
-	if how == CancelledByClient {
+	if how == Cancelled {
 		delete(s.pages, id)
 	}
 }
@@ -288,7 +288,7 @@
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	for _, a := range s.attempts {
-		a.End = Closed
+		a.End = ConnectionClosed
 		a.EndedAt = time.Now()
 	}
 	clear(s.attempts)
--- a/internal/faulttest/config.go
+++ b/internal/faulttest/config.go
@@ -28,7 +28,7 @@
 		front.StateDir = f.t.TempDir()
 	}
 	front.clusterPath = testprocess.WriteTempFile(f.t, "group.toml", f.clusterConfig(front, peerAddrs))
-	known, _ := f.Discovery.Since(0)
+	known, _ := f.Discovery.UpdatesAfter(0)
 	config := fakes.ProgramConfig{
 		Name:             front.Name,
 		Listen:           front.Addr,
@@ -38,7 +38,7 @@
 		Peers:            f.configuredPeers(index),
 		DiscoveryAddress: f.Discovery.Addr,
 		ControlAddress:   front.ControlAddr,
-		KnownUpdates:     known,
+		InitialUpdates:   known,
 		Settings:         fakes.Settings{FrontEnds: f.options.Size, Index: index, DeadlineMS: deadlineMS}.JSON(),
 	}
 	front.configPath = filepath.Join(f.t.TempDir(), "config.json")
--- a/internal/faulttest/fleet.go
+++ b/internal/faulttest/fleet.go
@@ -117,8 +117,8 @@
 	f.t.Helper()
 	var endpoints []fakes.Endpoint
 	for i := range f.options.Engines {
-		engine := fakes.NewEngine(f.t, fmt.Sprintf("s-%02d", i), func(fakes.Attempt) fakes.Response {
-			return fakes.Response{Duration: engineTime, Pages: []string{"a\tb\tc\n"}}
+		engine := fakes.NewEngine(f.t, fmt.Sprintf("s-%02d", i), func(fakes.Attempt) fakes.Behavior {
+			return fakes.Behavior{Duration: engineTime, Pages: []string{"a\tb\tc\n"}}
 		})
 		f.Engines = append(f.Engines, engine)
 		endpoints = append(endpoints, engine.Endpoint(fakes.Active))
--- a/internal/faulttest/view.go
+++ b/internal/faulttest/view.go
@@ -17,7 +17,7 @@
 // Call makes a call of the operators' API and returns the answer. Status 0: there is
 // none.
 func Call(controlAddr, method, path string) (status int, body []byte) {
-	return fakes.CallOperators(controlAddr, method, path, callTimeout)
+	return fakes.CallOperatorAPI(controlAddr, method, path, callTimeout)
 }
 
 // View is a front end's view of the fleet, by the operators' API.
--- a/internal/server/discovery_program_test.go
+++ b/internal/server/discovery_program_test.go
@@ -17,14 +17,14 @@
 	discovery := fakes.NewScriptedDiscovery(t, func(p fakes.Poll) string {
 		switch p.Number {
 		case 1:
-			p.Answer("rubbish")
+			p.Respond("rubbish")
 		case 2:
-			p.Answer(`{"rev":9,"notices":[{"rev":2,"pool":{"hosts":[{"host":"","health":"active"}]}}]}`)
+			p.Respond(`{"rev":9,"notices":[{"rev":2,"pool":{"hosts":[{"host":"","health":"active"}]}}]}`)
 		case 4: // after the good list, one that would leave no engine
-			p.Answer(fakes.OneUpdate(3, true).JSON())
+			p.Respond(fakes.OneUpdate(3, true).JSON())
 		default:
 			list := fakes.OneUpdate(2, false, fakes.Endpoint{ID: "s-1", State: fakes.Removed}, good.Endpoint(fakes.Active))
-			p.Answer(list.JSON())
+			p.Respond(list.JSON())
 		}
 		_ = p.Conn.Close()
 		return ""
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -74,7 +74,7 @@
 		PeerListen:       testprocess.FreeAddr(t),
 		Peers:            peers,
 		DiscoveryAddress: discovery,
-		KnownUpdates:     fakes.OneUpdate(1, true, endpoints...),
+		InitialUpdates:   fakes.OneUpdate(1, true, endpoints...),
 		Settings:         settings.JSON(),
 	}
 	if err := config.Write(f.configPath); err != nil {
@@ -169,7 +169,7 @@
 
 // callOperatorAPI makes an operator's call; status 0: there is no answer.
 func callOperatorAPI(addr, method, path string) (status int, body []byte) {
-	return fakes.CallOperators(addr, method, path, testprocess.WaitTimeout)
+	return fakes.CallOperatorAPI(addr, method, path, testprocess.WaitTimeout)
 }
 
 // client is a client's connection.
