--- a/internal/haproxy/build.go
+++ b/internal/haproxy/build.go
@@ -5,7 +5,7 @@
 	"dewhill/internal/simproto"
 )
 
-// Names and values of the imported deployment.
+// Names and values that the importer writes into the configuration of the MySQL front end.
 const (
 	defaultUser = "dewhill"
 	readClass   = "read"
@@ -20,120 +20,124 @@
 	notIdempotent = "side_effect"
 
 	defaultServerTimeoutMS = 60_000
-	defaultRetries         = 3 // HAProxy's own
+	defaultRetries         = 3 // the default of HAProxy
 )
 
-// build returns the front's file of the one front end; nil after a fatal finding.
+// build returns the configuration of the MySQL front end. It returns nil if the sections have no
+// single frontend with one address and with servers, and reports fatal findings then.
 func (im *importer) build() *mysql.Config {
-	front := im.findFront()
-	if front == nil {
+	frontend := im.findFrontend()
+	if frontend == nil {
 		return nil
 	}
-	im.line = front.line
-	back := im.findBack(front)
-	if back == nil {
+	im.line = frontend.line
+	backend := im.findBackend(frontend)
+	if backend == nil {
 		return nil
 	}
-	im.checkSections(front, back)
-	im.line = front.line
-	if len(front.binds) != 1 {
-		im.fail("%s %q has %d addresses: one can be served", front.kind, front.name, len(front.binds))
+	im.checkSections(frontend, backend)
+	im.line = frontend.line
+	if len(frontend.binds) != 1 {
+		im.fail("%s %q has %d addresses, want exactly one", frontend.kind, frontend.name, len(frontend.binds))
 		return nil
 	}
-	if len(back.servers) == 0 {
-		im.line = back.line
-		im.fail("%s %q has no servers", back.kind, back.name)
+	if len(backend.servers) == 0 {
+		im.line = backend.line
+		im.fail("%s %q has no servers", backend.kind, backend.name)
 		return nil
 	}
-	return im.config(front, back)
+	return im.config(frontend, backend)
 }
 
-// findFront returns the only frontend or listen section; nil if there is none.
-func (im *importer) findFront() *section {
-	var front *section
+// findFrontend returns the first frontend or listen section, or nil if there is none. Each
+// further section of these kinds is a fatal finding.
+func (im *importer) findFrontend() *section {
+	var frontend *section
 	for _, s := range im.sections {
 		if s.kind == kindBackend {
 			continue
 		}
 		im.line = s.line
-		if front != nil {
-			im.fail("%s %q: one front end can be served, and line %d has it", s.kind, s.name, front.line)
+		if frontend != nil {
+			im.fail("%s %q: only one front end is supported, and line %d has one already",
+				s.kind, s.name, frontend.line)
 			continue
 		}
-		front = s
+		frontend = s
 	}
 	im.line = max(1, im.line)
-	if front == nil {
+	if frontend == nil {
 		im.fail("no frontend or listen section")
 	}
-	return front
+	return frontend
 }
 
-// findBack returns the section with the front end's servers; nil if there is
-// none.
-func (im *importer) findBack(front *section) *section {
-	if front.defaultBackend == "" {
-		if front.kind == kindFrontend {
-			im.fail("frontend %q names no default_backend", front.name)
+// findBackend returns the section with the servers of the front end, or nil if there is none.
+func (im *importer) findBackend(frontend *section) *section {
+	if frontend.defaultBackend == "" {
+		if frontend.kind == kindFrontend {
+			im.fail("frontend %q has no default_backend", frontend.name)
 			return nil
 		}
-		return front
+		return frontend
 	}
-	var back *section
+	var backend *section
 	for _, s := range im.sections {
-		if s.kind != kindFrontend && s.name == front.defaultBackend {
-			back = s
+		if s.kind != kindFrontend && s.name == frontend.defaultBackend {
+			backend = s
 		}
 	}
-	if back == nil {
-		im.line = front.defaultBackendLine
-		im.fail("no backend is named %q", front.defaultBackend)
+	if backend == nil {
+		im.line = frontend.defaultBackendLine
+		im.fail("backend %q does not exist", frontend.defaultBackend)
 		return nil
 	}
-	if front.kind == kindListen && len(front.servers) > 0 && back != front {
-		im.fail("listen %q has servers of its own and default_backend", front.name)
+	if frontend.kind == kindListen && len(frontend.servers) > 0 && backend != frontend {
+		im.fail("listen %q has both servers and a default_backend", frontend.name)
 	}
-	return back
+	return backend
 }
 
-func (im *importer) checkSections(front, back *section) {
+func (im *importer) checkSections(frontend, backend *section) {
 	for _, s := range im.sections {
 		im.line = s.line
-		if s.kind == kindBackend && s != back {
+		if s.kind == kindBackend && s != backend {
 			im.note("backend %q is not used", s.name)
 		}
-		if s.mode != modeTCP && (s == front || s == back) {
-			im.fail("%s %q: mode http is the default, and only tcp carries MySQL", s.kind, s.name)
+		if s.mode != modeTCP && (s == frontend || s == backend) {
+			im.fail("%s %q: mode http is the default; only tcp is supported, as MySQL is not HTTP",
+				s.kind, s.name)
 		}
 	}
 }
 
-func (im *importer) config(front, back *section) *mysql.Config {
-	user := back.user
+func (im *importer) config(frontend, backend *section) *mysql.Config {
+	user := backend.user
 	if user == "" {
 		user = defaultUser
 	}
-	im.note("HAProxy passes logins through: account %q with an empty password was written, here and at the engines; set yours", user)
+	im.note("HAProxy forwards logins to the servers, this program does not: account %q with an empty "+
+		"password was written for clients and engines; set your own account", user)
 	config := &mysql.Config{
 		Enabled:   true,
-		Listen:    front.binds[0],
+		Listen:    frontend.binds[0],
 		Accounts:  []mysql.Account{{User: user, Password: ""}},
-		Engines:   engines(back, user),
+		Engines:   engines(backend, user),
 		ReadClass: readClass,
 		LoadClass: loadClass,
-		Settings:  settings(back),
+		Settings:  settings(backend),
 	}
-	config.Limits.ConnectionsPerEngine = im.connectionsPerEngine(back)
-	config.Limits.Connections = front.maxConnections
-	if front.maxConnections == 0 {
+	config.Limits.ConnectionsPerEngine = im.connectionsPerEngine(backend)
+	config.Limits.Connections = frontend.maxConnections
+	if frontend.maxConnections == 0 {
 		config.Limits.Connections = im.maxConnections
 	}
 	return config
 }
 
-func engines(back *section, user string) []mysql.Engine {
+func engines(backend *section, user string) []mysql.Engine {
 	var list []mysql.Engine
-	for _, s := range back.servers {
+	for _, s := range backend.servers {
 		state := stateActive
 		if s.draining {
 			state = stateDraining
@@ -150,14 +154,15 @@
 	return list
 }
 
-// connectionsPerEngine returns the smallest limit of all servers; 0 if there is
-// none.
-func (im *importer) connectionsPerEngine(back *section) int {
+// connectionsPerEngine returns the smallest maxconn of the servers, or 0 if no server has one: the
+// configuration of the MySQL front end has one limit for all engines.
+func (im *importer) connectionsPerEngine(backend *section) int {
 	limit := 0
-	for _, s := range back.servers {
+	for _, s := range backend.servers {
 		im.line = s.line
 		if s.maxConnections > 0 && limit > 0 && s.maxConnections != limit {
-			im.note("maxconn %d: the least of all servers holds for each", s.maxConnections)
+			im.note("maxconn %d: the smallest maxconn of the servers applies to each engine",
+				s.maxConnections)
 		}
 		if s.maxConnections > 0 && (limit == 0 || s.maxConnections < limit) {
 			limit = s.maxConnections
@@ -166,14 +171,14 @@
 	return limit
 }
 
-// settings are those of a general deployment: reads, which may be retried, and
-// loads, which must not run twice. The server timeout is their deadline.
-func settings(back *section) simproto.Settings {
-	deadlineMS := back.timeoutsMS["server"]
+// settings returns settings with two classes: reads, which may be retried, and loads, which must
+// not run twice. The server timeout is the deadline of both classes.
+func settings(backend *section) simproto.Settings {
+	deadlineMS := backend.timeoutsMS["server"]
 	if deadlineMS == 0 {
 		deadlineMS = defaultServerTimeoutMS
 	}
-	retries := back.retries
+	retries := backend.retries
 	if retries == 0 {
 		retries = defaultRetries
 	}
@@ -207,7 +212,7 @@
 	s.Limits.SendsRetryAfter = true
 	s.Limits.MaxRetryAfterMS = 500
 	s.Limits.MaxAttempts = 1 + retries
-	s.Limits.ConnectTimeoutMS = back.timeoutsMS["connect"]
+	s.Limits.ConnectTimeoutMS = backend.timeoutsMS["connect"]
 	s.Discovery = "push"
 	s.Reporting.Via = "none"
 	s.GatewayCount = 1
--- a/internal/haproxy/fields.go
+++ b/internal/haproxy/fields.go
@@ -5,17 +5,18 @@
 	"strings"
 )
 
-var errOpenQuote = errors.New("a quote is not closed")
+var errUnclosedQuote = errors.New("a quote is not closed")
 
-// splitter splits a line into fields as HAProxy does: quotes and backslashes join,
-// # ends the line.
+// splitter splits a line into fields as HAProxy does: white space within quotes or after a
+// backslash does not end a field, and # begins a comment.
 type splitter struct {
 	fields  []string
 	field   strings.Builder
 	inField bool
-	quote   byte // that is open; 0: none
+	quote   byte // quote character that is not closed yet; 0: none
 }
 
+// splitFields returns the fields of a line, and errUnclosedQuote if a quote is not closed.
 func splitFields(line string) ([]string, error) {
 	var s splitter
 	for i := 0; i < len(line); i++ {
@@ -32,7 +33,7 @@
 	}
 	s.endField()
 	if s.quote != 0 {
-		return s.fields, errOpenQuote
+		return s.fields, errUnclosedQuote
 	}
 	return s.fields, nil
 }
@@ -67,7 +68,7 @@
 	s.inField = false
 }
 
-// argument returns the first argument of a keyword; empty if there is none.
+// argument returns the first argument of a keyword, or an empty string if there is none.
 func argument(fields []string) string {
 	if len(fields) < 2 {
 		return ""
--- a/internal/haproxy/import.go
+++ b/internal/haproxy/import.go
@@ -1,13 +1,13 @@
-// Package haproxy imports an HAProxy configuration: it writes the MySQL front's
-// file for the one TCP front end that the configuration may have, and reports
-// what is not carried over.
+// Package haproxy imports an HAProxy configuration: it writes the configuration file of the MySQL
+// front end for the only TCP front end that the HAProxy configuration may have, and reports each
+// keyword that is not imported.
 //
 //	import.go    reading the file, findings
 //	fields.go    splitting a line into fields
-//	section.go   sections and what defaults give them
+//	section.go   sections and the values that they inherit from defaults
 //	keyword.go   the keywords of a section
 //	server.go    server lines and their options
-//	build.go     the front's file from the sections
+//	build.go     the configuration of the MySQL front end from the sections
 package haproxy
 
 import (
@@ -22,10 +22,10 @@
 
 const maxLineBytes = 1 << 20
 
-// Finding is something that is not carried over as it stands.
+// Finding reports a line whose meaning is not imported unchanged.
 type Finding struct {
 	Line  int
-	Fatal bool // it would change what is served
+	Fatal bool // ignoring the line would change how clients are served
 	Text  string
 }
 
@@ -38,14 +38,14 @@
 	return fmt.Sprintf("line %d: %s: %s", f.Line, severity, f.Text)
 }
 
-// Run imports a file: the front's file is written to out, findings to report. If
-// one of them is fatal, out stays empty and Run fails.
+// Run imports a file. It writes the configuration of the MySQL front end to out and the findings
+// to report. If a finding is fatal, Run writes nothing to out and fails.
 func Run(path string, out, report io.Writer) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = file.Close() }() // only read
+	defer func() { _ = file.Close() }() // errors of closing don't matter after reading
 	config, findings, err := Import(file)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
@@ -55,7 +55,7 @@
 		return err
 	}
 	if fatal > 0 {
-		return fmt.Errorf("%s: %d lines can't be carried over; nothing was written", path, fatal)
+		return fmt.Errorf("%s: %d errors; no configuration was written", path, fatal)
 	}
 	data, err := json.MarshalIndent(config, "", "  ")
 	if err != nil {
@@ -65,7 +65,7 @@
 	return err
 }
 
-// writeFindings returns how many findings are fatal.
+// writeFindings writes the findings to report and returns the number of fatal findings.
 func writeFindings(report io.Writer, path string, findings []Finding) (fatal int, err error) {
 	for _, f := range findings {
 		if _, err := fmt.Fprintf(report, "%s: %s\n", path, f); err != nil {
@@ -78,8 +78,8 @@
 	return fatal, nil
 }
 
-// Import reads a configuration. The config is of use only without fatal
-// findings. An error means that the input can't be read.
+// Import reads an HAProxy configuration. The returned configuration is valid only if no finding
+// is fatal. An error means that the input can't be read.
 func Import(in io.Reader) (*mysql.Config, []Finding, error) {
 	im := &importer{
 		namedDefaults: map[string]*section{},
@@ -98,28 +98,28 @@
 	return im.build(), im.findings, nil
 }
 
-// importer is the state of one Import.
+// importer is the state of a call of Import.
 type importer struct {
 	findings       []Finding
-	line           int // that findings are about
+	line           int // number of the line that is read or checked, for findings
 	sections       []*section
 	defaults       *section // the last defaults section
 	namedDefaults  map[string]*section
-	maxConnections int // global
+	maxConnections int // maxconn of the global section; 0: not set
 }
 
-// note reports what changes nothing.
+// note reports a finding that does not change how clients are served.
 func (im *importer) note(format string, args ...any) { im.report(false, format, args...) }
 
-// fail reports what would change what is served.
+// fail reports a fatal finding.
 func (im *importer) fail(format string, args ...any) { im.report(true, format, args...) }
 
 func (im *importer) report(fatal bool, format string, args ...any) {
 	im.findings = append(im.findings, Finding{im.line, fatal, fmt.Sprintf(format, args...)})
 }
 
-// readLine reads a line within a section, nil before the first, and returns the
-// section that the next line is in.
+// readLine reads a line of the section current, which is nil before the first section, and
+// returns the section of the next line.
 func (im *importer) readLine(current *section, line string) *section {
 	fields, err := splitFields(line)
 	if err != nil {
@@ -133,7 +133,7 @@
 		return next
 	}
 	if current == nil {
-		im.fail("%q stands in no section", fields[0])
+		im.fail("%q is outside of any section", fields[0])
 		return nil
 	}
 	im.readKeyword(current, fields)
--- a/internal/haproxy/section.go
+++ b/internal/haproxy/section.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// sectionKind is the keyword that begins a section.
+// sectionKind is the keyword that begins a section, or kindUnsupported.
 type sectionKind string
 
 const (
-	kindGlobal   sectionKind = "global"
-	kindDefaults sectionKind = "defaults"
-	kindFrontend sectionKind = "frontend"
-	kindBackend  sectionKind = "backend"
-	kindListen   sectionKind = "listen"
-	kindOther    sectionKind = "other" // not carried over
+	kindGlobal      sectionKind = "global"
+	kindDefaults    sectionKind = "defaults"
+	kindFrontend    sectionKind = "frontend"
+	kindBackend     sectionKind = "backend"
+	kindListen      sectionKind = "listen"
+	kindUnsupported sectionKind = "other" // its lines are skipped
 )
 
 var (
-	sectionKinds  = []sectionKind{kindGlobal, kindDefaults, kindFrontend, kindBackend, kindListen}
-	otherSections = []string{"userlist", "peers", "mailers", "resolvers", "program", "cache", "http-errors", "ring",
-		"log-forward", "fcgi-app", "crt-store", "traces", "log-profile"}
+	sectionKinds        = []sectionKind{kindGlobal, kindDefaults, kindFrontend, kindBackend, kindListen}
+	unsupportedSections = []string{"userlist", "peers", "mailers", "resolvers", "program", "cache",
+		"http-errors", "ring", "log-forward", "fcgi-app", "crt-store", "traces", "log-profile"}
 )
 
-// section is a section of the configuration, with what defaults gave it.
+// section is a section of the configuration, with the values that it inherits from defaults.
 type section struct {
 	kind               sectionKind
 	name               string
@@ -37,24 +37,24 @@
 	maxConnections     int
 	timeoutsMS         map[string]float64
 	retries            int
-	user               string // of mysql-check
+	user               string // of option mysql-check
 }
 
-// isFront reports whether front end keywords may stand in the section.
-func (s *section) isFront() bool {
+// allowsFrontendKeywords reports whether the section may have keywords of a front end.
+func (s *section) allowsFrontendKeywords() bool {
 	return s.kind == kindFrontend || s.kind == kindListen || s.kind == kindDefaults
 }
 
-// isBack reports whether back end keywords may stand in the section.
-func (s *section) isBack() bool {
+// allowsBackendKeywords reports whether the section may have keywords of a back end.
+func (s *section) allowsBackendKeywords() bool {
 	return s.kind == kindBackend || s.kind == kindListen || s.kind == kindDefaults
 }
 
-// beginSection returns the section that a line begins; nil if it begins none.
+// beginSection returns the section that a line begins, or nil if it does not begin a section.
 func (im *importer) beginSection(fields []string) *section {
-	if slices.Contains(otherSections, fields[0]) && len(fields) <= 2 {
-		im.fail("section %q is not carried over", fields[0])
-		return &section{kind: kindOther}
+	if slices.Contains(unsupportedSections, fields[0]) && len(fields) <= 2 {
+		im.fail("section %q is not supported", fields[0])
+		return &section{kind: kindUnsupported}
 	}
 	kind := sectionKind(fields[0])
 	if !slices.Contains(sectionKinds, kind) {
@@ -76,19 +76,21 @@
 	return s
 }
 
-// findDefaults returns the defaults of a section: the named ones, or the last.
+// findDefaults returns the defaults section that a section names with "from", or else the last
+// defaults section before it.
 func (im *importer) findDefaults(fields []string) *section {
 	if len(fields) != 4 || fields[2] != "from" {
 		return im.defaults
 	}
 	defaults := im.namedDefaults[fields[3]]
 	if defaults == nil {
-		im.fail("no defaults section is named %q", fields[3])
+		im.fail("defaults section %q does not exist", fields[3])
 		return im.defaults
 	}
 	return defaults
 }
 
+// inherit copies the values of a defaults section.
 func (s *section) inherit(defaults *section) {
 	s.mode = defaults.mode
 	s.maxConnections = defaults.maxConnections
@@ -105,14 +107,15 @@
 		im.fail("%s has no name", s.kind)
 	}
 	for _, other := range im.sections {
-		if other.name == s.name && other.sharesNames(s) {
-			im.fail("%s %q is there already", s.kind, s.name)
+		if other.name == s.name && other.mustDifferInName(s) {
+			im.fail("%s %q is defined already", s.kind, s.name)
 		}
 	}
 	im.sections = append(im.sections, s)
 }
 
-// sharesNames reports whether two sections must not have the same name.
-func (s *section) sharesNames(other *section) bool {
+// mustDifferInName reports whether two sections must not have the same name: a frontend may share
+// its name only with a backend or a listen section.
+func (s *section) mustDifferInName(other *section) bool {
 	return s.kind == other.kind || s.kind != kindFrontend && other.kind != kindFrontend
 }
--- a/internal/haproxy/server.go
+++ b/internal/haproxy/server.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// maxWeight is HAProxy's largest weight of a server.
+// maxWeight is the largest weight that HAProxy accepts.
 const maxWeight = 256
 
-// server is a server line.
+// server is a server line, or the options of default-server.
 type server struct {
 	name           string
 	address        string
@@ -30,7 +30,7 @@
 	added.line = im.line
 	host, port, err := net.SplitHostPort(added.address)
 	if err != nil || host == "" || strings.ContainsAny(port, "+-") {
-		im.fail("server %s: %q is no address with a port", added.name, added.address)
+		im.fail("server %s: %q is not an address with one port", added.name, added.address)
 		return
 	}
 	if im.readServerOptions(&added, fields[3:]) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// readServerOptions reads a server's options and reports whether the server can
-// be carried over.
+// readServerOptions reads the options of a server and reports whether the server can be imported with
+// them.
 func (im *importer) readServerOptions(s *server, options []string) bool {
 	usable := true
 	for i := 0; i < len(options); i++ {
@@ -62,29 +62,29 @@
 
 func takesValue(option string) bool {
 	switch option {
-	case "weight", "maxconn", "inter", "fastinter", "downinter", "rise", "fall", "port", "slowstart", "observe", "error-limit",
-		"on-error", "id", "on-marked-down", "on-marked-up":
+	case "weight", "maxconn", "inter", "fastinter", "downinter", "rise", "fall", "port", "slowstart",
+		"observe", "error-limit", "on-error", "id", "on-marked-down", "on-marked-up":
 		return true
 	default:
 		return false
 	}
 }
 
-// readServerFlag reads an option without a value and reports whether the server
-// can be carried over with it.
+// readServerFlag reads an option without a value and reports whether the server can be imported
+// with it.
 func (im *importer) readServerFlag(s *server, option string) bool {
 	switch option {
 	case "check", "no-check":
-		im.note("%s: engines are judged by their answers instead", option)
+		im.note("%s is not imported: the health of an engine follows from its replies", option)
 	case "disabled":
 		s.draining = true
 	case "enabled":
 		s.draining = false
 	case "backup":
-		im.fail("backup: every engine that is listed gets work here")
+		im.fail("backup is not supported: every engine on the endpoint list receives requests")
 		return false
 	default:
-		im.fail("server option %q is not carried over", option)
+		im.fail("server option %q is not supported", option)
 		return false
 	}
 	return true
@@ -95,19 +95,19 @@
 	case "weight":
 		weight, err := strconv.ParseUint(value, 10, 16)
 		if err != nil || weight > maxWeight {
-			im.fail("weight %q", value)
+			im.fail("weight %q is not a whole number from 0 to %d", value, maxWeight)
 		}
 		s.weight = float64(weight)
-		if weight == 0 { // HAProxy sends such a server nothing new
+		if weight == 0 { // HAProxy sends no new connections to a server of weight 0
 			s.draining = true
 		}
 	case "maxconn":
 		connections, err := strconv.ParseUint(value, 10, 31)
 		if err != nil {
-			im.fail("maxconn %q", value)
+			im.fail("maxconn %q is not a whole number", value)
 		}
 		s.maxConnections = int(connections)
 	default:
-		im.note("server option %s: engines are judged by their answers instead", option)
+		im.note("server option %s is not imported: the health of an engine follows from its replies", option)
 	}
 }
