--- a/internal/testprocess/input.go
+++ b/internal/testprocess/input.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// rapidSeed is fixed, so that each run of the random tests gives the same result.
+// rapidSeed is the fixed seed of the tests with random inputs, so that each run gives the same
+// result.
 const rapidSeed = "20261201"
 
 func init() {
@@ -18,18 +19,18 @@
 	}
 }
 
-// ChunkedConn is a connection from which data is read in pieces of random sizes, and
-// then the end. Writes are dropped.
+// ChunkedConn is a connection from which fixed data is read in chunks of random sizes, followed by
+// io.EOF. Written data is discarded.
 type ChunkedConn struct {
 	net.Conn
 	t    *rapid.T
 	data []byte
 }
 
-// NewChunkedConn returns a connection with data to read.
+// NewChunkedConn returns a connection from which data is read.
 func NewChunkedConn(t *rapid.T, data []byte) *ChunkedConn { return &ChunkedConn{t: t, data: data} }
 
-// Read reads the next piece.
+// Read reads the next chunk.
 func (c *ChunkedConn) Read(p []byte) (int, error) {
 	if len(c.data) == 0 {
 		return 0, io.EOF
@@ -40,7 +41,7 @@
 	return n, nil
 }
 
-// Write drops the data.
+// Write discards the data.
 func (c *ChunkedConn) Write(p []byte) (int, error) { return len(p), nil }
 
 // SetDeadline does nothing: reads never block.
@@ -52,8 +53,8 @@
 // Close does nothing.
 func (c *ChunkedConn) Close() error { return nil }
 
-// MalformedMessage draws one of the messages and truncates it or changes, inserts or
-// removes some of its bytes.
+// MalformedMessage draws one of the messages, truncates it or changes, inserts or removes some of
+// its bytes, and returns the result.
 func MalformedMessage(t *rapid.T, messages ...string) []byte {
 	b := []byte(rapid.SampledFrom(messages).Draw(t, "message"))
 	for range rapid.IntRange(1, 4).Draw(t, "changes") {
--- a/internal/testprocess/norace.go
+++ b/internal/testprocess/norace.go
@@ -2,4 +2,4 @@
 
 package testprocess
 
-const raceOn = false
+const raceEnabled = false
--- a/internal/testprocess/process.go
+++ b/internal/testprocess/process.go
@@ -1,6 +1,5 @@
-// Package testprocess builds and starts the program for tests, and has what tests
-// need besides: free addresses, waiting for a condition, and inputs that arrive in
-// pieces or malformed.
+// Package testprocess builds and starts the program for tests. It also returns free addresses, waits
+// for conditions, and makes malformed inputs and inputs that arrive in chunks.
 package testprocess
 
 import (
@@ -26,43 +25,45 @@
 	"dewhill/internal/mutanttest"
 )
 
-// WaitTimeout bounds every wait of a test. It only ends a test that would hang.
+// WaitTimeout limits each wait of a test. It is only reached by a test that would otherwise hang.
 const WaitTimeout = 60 * time.Second
 
 const (
-	pollInterval    = 2 * time.Millisecond
-	maxPortAttempts = 1000
-	firstPort       = 10_000
-	portCount       = 22_000
+	conditionPollInterval = 2 * time.Millisecond
+	maxPortAttempts       = 1000
+	firstPort             = 10_000
+	portCount             = 22_000
 
-	// Of /proc/PID/stat, behind the program's name.
+	// Fields of /proc/PID/stat, counted from 0 after the name of the program.
 	userTicksField   = 11
 	systemTicksField = 12
 	clockTick        = 10 * time.Millisecond
 )
 
-// MaxDescriptors limits the descriptors of processes that are started from then on, if
-// it is above 0.
+// MaxDescriptors is the maximum number of descriptors of processes that are started later; 0: they
+// inherit the limit of the test.
 var MaxDescriptors = 0
 
-// builds are the programs built so far, by their mutant's name.
-var builds = struct {
-	mu sync.Mutex
-	by map[string]func() (string, error)
-}{by: map[string]func() (string, error){}}
+// binaries holds the build of each mutant, by name; the program without a mutant has an empty name.
+var binaries = struct {
+	mu     sync.Mutex
+	byName map[string]func() (string, error)
+}{byName: map[string]func() (string, error){}}
 
+// build returns the path of the program with a mutant, or without one if mutant is nil. Each is
+// compiled once.
 func build(mutant *mutanttest.Mutant) (string, error) {
 	name := ""
 	if mutant != nil {
 		name = mutant.Name
 	}
-	builds.mu.Lock()
-	f := builds.by[name]
+	binaries.mu.Lock()
+	f := binaries.byName[name]
 	if f == nil {
 		f = sync.OnceValues(func() (string, error) { return compile(mutant) })
-		builds.by[name] = f
+		binaries.byName[name] = f
 	}
-	builds.mu.Unlock()
+	binaries.mu.Unlock()
 	return f()
 }
 
@@ -80,7 +81,7 @@
 		}
 		args = append(args, "-overlay", overlay)
 	}
-	if raceOn {
+	if raceEnabled {
 		args = append(args, "-race")
 	}
 	out, err := exec.Command("go", append(args, "dewhill/cmd/dewhill")...).CombinedOutput()
@@ -90,45 +91,45 @@
 	return bin, err
 }
 
-// Process is a running program.
+// Process is a process of the program.
 type Process struct {
 	t       testing.TB
 	command *exec.Cmd
-	ended   chan error
+	exited  chan error // receives the result of the process once
 	mu      sync.Mutex
-	log     bytes.Buffer
+	log     bytes.Buffer // standard output and standard error
 }
 
-// Write appends to the log.
+// Write appends output of the process to the log.
 func (p *Process) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.Write(b)
 }
 
-// Log returns what the program has logged so far.
+// Log returns the output of the program so far.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// Start starts the program with environment variables, beside those of the test, and
-// arguments. It is killed when the test ends.
+// Start starts the program with arguments and with environment variables in addition to those of
+// the test. The process is killed when the test ends.
 func Start(t testing.TB, env []string, args ...string) *Process {
 	t.Helper()
 	return StartMutant(t, nil, env, args...)
 }
 
-// StartMutant starts the program as built with a guard removed, to show that a
-// check finds it missing; nil: the program as it is.
+// StartMutant does the same as Start with a mutant of the program, from which a guard is removed, to
+// show that a check detects the missing guard. If mutant is nil, it starts the unchanged program.
 func StartMutant(t testing.TB, mutant *mutanttest.Mutant, env []string, args ...string) *Process {
 	t.Helper()
 	bin, err := build(mutant)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &Process{t: t, command: exec.Command(bin, args...), ended: make(chan error, 1)}
+	p := &Process{t: t, command: exec.Command(bin, args...), exited: make(chan error, 1)}
 	if MaxDescriptors > 0 {
 		sh := []string{"-c", fmt.Sprintf(`ulimit -n %d; exec "$0" "$@"`, MaxDescriptors), bin}
 		p.command = exec.Command("/bin/sh", append(sh, args...)...)
@@ -138,17 +139,17 @@
 	if err := p.command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.ended <- p.command.Wait() }()
+	go func() { p.exited <- p.command.Wait() }()
 	t.Cleanup(func() {
 		_ = p.command.Process.Kill()
 		if t.Failed() {
-			t.Logf("the program's log:\n%s", p.Log())
+			t.Logf("output of the program:\n%s", p.Log())
 		}
 	})
 	return p
 }
 
-// LimitDescriptors sets how many descriptors the process may hold from now on.
+// LimitDescriptors sets the maximum number of descriptors of the running process.
 func (p *Process) LimitDescriptors(descriptors uint64) {
 	p.t.Helper()
 	l := unix.Rlimit{Cur: descriptors, Max: descriptors}
@@ -157,16 +158,16 @@
 	}
 }
 
-// Signal sends the process a signal. One that has ended does not get it.
+// Signal sends the process a signal. It does nothing if the process has ended.
 func (p *Process) Signal(s syscall.Signal) { _ = p.command.Process.Signal(s) }
 
 // Wait waits for the end of the process and returns its exit code.
 func (p *Process) Wait() int {
 	p.t.Helper()
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(WaitTimeout):
-		p.t.Fatalf("the program does not end")
+		p.t.Fatalf("the program did not exit within %v", WaitTimeout)
 	}
 	return p.command.ProcessState.ExitCode()
 }
@@ -178,44 +179,46 @@
 	p.Wait()
 }
 
-// Stop ends the process by SIGTERM and returns the counters that it logs last.
+// Stop ends the process with SIGTERM, expects exit code 0 and returns the counters that the process
+// logs last.
 func (p *Process) Stop() map[string]any {
 	p.t.Helper()
 	p.Signal(syscall.SIGTERM)
 	if code := p.Wait(); code != 0 {
-		p.t.Fatalf("the program ended with %d after SIGTERM", code)
+		p.t.Fatalf("the program exited with code %d after SIGTERM", code)
 	}
 	const prefix = "counters: "
 	log := p.Log()
 	start := strings.LastIndex(log, prefix)
 	if start < 0 {
-		p.t.Fatal("no counters at the end")
+		p.t.Fatal("the program logged no counters")
 	}
 	var counters map[string]any
 	if err := json.Unmarshal([]byte(log[start+len(prefix):]), &counters); err != nil {
-		p.t.Fatalf("counters at the end: %v", err)
+		p.t.Fatalf("the logged counters are invalid: %v", err)
 	}
 	return counters
 }
 
-// Until waits until a condition holds, and fails the test if it never does.
-func Until(t testing.TB, what string, holds func() bool) {
+// Until waits until a condition holds, and fails the test if the condition does not hold within
+// WaitTimeout. condition describes it for the message.
+func Until(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(pollInterval) {
+	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(conditionPollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("not within %v: %s", WaitTimeout, condition)
 		}
 	}
 }
 
-// FreeAddr returns a loopback address that nobody listens on. Its port is below those
-// of outgoing connections, so that none of them takes it before the program listens
-// there or while it is down.
+// FreeAddr returns a loopback address on which no socket listens. Its port is below the ports of
+// outgoing connections, so that no connection takes the port before the program listens there or
+// while the program is down.
 func FreeAddr(t testing.TB) string {
 	t.Helper()
 	for range maxPortAttempts {
 		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount))
-		if _, given := usedAddrs.LoadOrStore(addr, true); given {
+		if _, used := usedAddrs.LoadOrStore(addr, true); used {
 			continue
 		}
 		if l, err := net.Listen("tcp", addr); err == nil {
@@ -223,15 +226,14 @@
 			return addr
 		}
 	}
-	t.Fatal("no free port")
+	t.Fatalf("no free port after %d attempts", maxPortAttempts)
 	return ""
 }
 
-// usedAddrs are the addresses that FreeAddr has returned.
+// usedAddrs holds the addresses that FreeAddr has tried: no address is returned twice.
 var usedAddrs sync.Map
 
-// CPUTime returns the processor time that the process has used so far, in ticks of
-// 10 ms.
+// CPUTime returns the processor time that the process has used so far, as a multiple of 10 ms.
 func (p *Process) CPUTime() time.Duration {
 	p.t.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.command.Process.Pid))
@@ -241,7 +243,7 @@
 	_, afterName, _ := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(afterName)
 	if len(fields) <= systemTicksField {
-		p.t.Fatalf("unexpected form: %s", stat)
+		p.t.Fatalf("/proc/PID/stat has too few fields: %s", stat)
 	}
 	ticks := 0
 	for _, field := range []int{userTicksField, systemTicksField} {
@@ -254,8 +256,7 @@
 	return time.Duration(ticks) * clockTick
 }
 
-// WriteTempFile writes a text to a new file, in a directory of its own, and returns its
-// path.
+// WriteTempFile writes a text to a file in a new directory, and returns the path of the file.
 func WriteTempFile(t testing.TB, name, text string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), name)
@@ -265,7 +266,7 @@
 	return path
 }
 
-// ConnectedPair returns the two ends of a connection, which end with the test.
+// ConnectedPair returns the two ends of a connection. Both are closed when the test ends.
 func ConnectedPair(t testing.TB) (here, there net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -286,25 +287,25 @@
 	return here, there
 }
 
-// WriteHalfThenRest lets the next reader of a path read the first half of a text, and
-// later ones all of it. The half comes from a pipe; the complete file is there before
-// the pipe ends. read makes the program read the path.
+// WriteHalfThenRest makes the next reader of a path read the first half of a text, and later readers
+// the whole text. The first reader reads from a pipe, which is replaced by the complete file before
+// the pipe is closed. read makes the program read the path.
 func WriteHalfThenRest(t testing.TB, path, text string, read func()) {
 	t.Helper()
 	pipe := path + ".pipe"
-	written := path + ".written"
+	complete := path + ".written"
 	err := errors.Join(
 		syscall.Mkfifo(pipe, 0o600),
-		os.WriteFile(written, []byte(text), 0o600),
+		os.WriteFile(complete, []byte(text), 0o600),
 		os.Rename(pipe, path),
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	read()
-	half, err := os.OpenFile(path, os.O_WRONLY, 0) // waits until the program reads there
+	half, err := os.OpenFile(path, os.O_WRONLY, 0) // waits until the program opens the pipe
 	if err == nil {
-		err = os.Rename(written, path)
+		err = os.Rename(complete, path)
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testprocess/race.go
+++ b/internal/testprocess/race.go
@@ -2,4 +2,4 @@
 
 package testprocess
 
-const raceOn = true
+const raceEnabled = true
