--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,11 +1,9 @@
-// Package goldentest compares encodings with golden files, for tests of
-// compatibility between versions of this program: during an upgrade, front ends
-// of two versions exchange messages, and a new version reads what the previous
-// one wrote to disk.
+// Package goldentest compares encodings with golden files, to test the compatibility between
+// versions of this program: during an upgrade, front ends of two versions exchange messages, and a
+// new version reads the files that the previous version wrote to disk.
 //
-// A golden file lies in testdata/compat of the package under test. Each line is
-// the name of a case, a space, and the encoded bytes in hexadecimal. Nothing in
-// this module writes these files.
+// The golden files are in testdata/compat of the package under test. Each line is the name of a
+// case, a space, and the encoded bytes in hexadecimal. No code in this module writes these files.
 package goldentest
 
 import (
@@ -39,7 +37,7 @@
 		t.Run(c.Name, func(t *testing.T) {
 			want, found := golden[c.Name]
 			if !found {
-				t.Errorf("no golden line")
+				t.Errorf("%s has no line for this case", file)
 			}
 			if got := encode(c.Value); !bytes.Equal(got, want) {
 				t.Errorf("encoded %x, golden %x", got, want)
@@ -49,13 +47,13 @@
 				t.Fatalf("decoded\n%+v, %v, want\n%+v", got, err, c.Value)
 			}
 			if again := encode(got); !bytes.Equal(again, want) {
-				t.Errorf("decoded and encoded again %x, golden %x", again, want)
+				t.Errorf("encoded %x after decoding, golden %x", again, want)
 			}
 		})
 	}
 }
 
-// Read returns the encodings in a golden file by the name of their line.
+// Read returns the encodings of a golden file, by the names of their cases.
 func Read(t *testing.T, file string) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "compat", file))
