--- a/internal/mutanttest/mutanttest.go
+++ b/internal/mutanttest/mutanttest.go
@@ -1,7 +1,6 @@
-// Package mutanttest builds mutants of this module for tests: copies in which
-// one guard is removed from the source. A check that still passes on a mutant
-// does not check what the guard is for. The sources themselves carry no trace
-// of it: a mutant exists only as an overlay of the go command.
+// Package mutanttest builds mutants of this module for tests: copies of the source from which one
+// guard is removed. A check that still passes on a mutant does not check the property that the guard
+// ensures. The source files are not changed: a mutant exists only as an overlay of the go command.
 package mutanttest
 
 import (
@@ -15,7 +14,7 @@
 	"testing"
 )
 
-// Mutant is a change to one source file that removes a guard.
+// Mutant is a change to one source file that removes a guard: New replaces Old.
 type Mutant struct {
 	Name string
 	File string // path from the module's root, with slashes
@@ -23,10 +22,10 @@
 	New  string
 }
 
-// errNotUnique is returned for a Mutant whose Old text is absent or ambiguous.
+// errNotUnique is returned for a Mutant whose Old text does not occur exactly once.
 var errNotUnique = errors.New("text to replace must occur exactly once")
 
-// apply returns the source with the mutant's change.
+// apply returns the source with the change of the mutant.
 func (m *Mutant) apply(source string) (string, error) {
 	if n := strings.Count(source, m.Old); n != 1 {
 		return "", fmt.Errorf("mutant %s: %s: %w, occurs %d times", m.Name, m.File, errNotUnique, n)
@@ -34,8 +33,8 @@
 	return strings.Replace(source, m.Old, m.New, 1), nil
 }
 
-// WriteOverlay writes the mutated source and an overlay file for the go
-// command's -overlay flag into dir, and returns the overlay file's path.
+// WriteOverlay writes the mutated source file and an overlay file for the -overlay flag of the go
+// command to dir, and returns the path of the overlay file.
 func (m *Mutant) WriteOverlay(dir string) (string, error) {
 	root, err := moduleRoot()
 	if err != nil {
@@ -65,10 +64,9 @@
 	return path, nil
 }
 
-// ExpectKilled runs one test of a package of this module on the mutant and
-// fails unless that test fails there. The package is named from the module's
-// root, as in "./internal/lease". A mutant that does not build fails the
-// calling test too.
+// ExpectKilled runs a test of a package of this module on the mutant, and fails the calling test
+// unless the test fails on the mutant. The package is relative to the root of the module, as in
+// "./internal/lease". A mutant that does not build fails the calling test, too.
 func ExpectKilled(t *testing.T, mutant Mutant, pkg, test string, args ...string) {
 	t.Helper()
 	overlay, err := mutant.WriteOverlay(t.TempDir())
@@ -84,20 +82,21 @@
 	command.Dir = root
 	output, err := command.CombinedOutput()
 	if err == nil {
-		t.Fatalf("mutant %s survives %s", mutant.Name, test)
+		t.Fatalf("mutant %s: %s passes, want a failure", mutant.Name, test)
 	}
 	if !strings.Contains(string(output), "--- FAIL: "+test) {
-		t.Fatalf("mutant %s: %s did not run to a failure: %v\n%s", mutant.Name, test, err, output)
+		t.Fatalf("mutant %s: go test failed, but not in %s: %v\n%s", mutant.Name, test, err, output)
 	}
 }
 
-// Case is a mutant and a test that must fail on it.
+// Case is a mutant and the name of a test that must fail on the mutant.
 type Case struct {
 	Mutant Mutant
 	Test   string
 }
 
-// ExpectAllKilled calls ExpectKilled with each case, in a subtest named after it.
+// ExpectAllKilled calls ExpectKilled for each case, in a subtest with the names of the mutant and
+// the test.
 func ExpectAllKilled(t *testing.T, pkg string, cases []Case, args ...string) {
 	t.Helper()
 	for _, c := range cases {
@@ -107,10 +106,11 @@
 	}
 }
 
+// moduleRoot returns the directory of go.mod.
 func moduleRoot() (string, error) {
 	output, err := exec.Command("go", "env", "GOMOD").Output()
 	if err != nil {
-		return "", fmt.Errorf("find the module's root: %w", err)
+		return "", fmt.Errorf("find the root of the module: %w", err)
 	}
 	return filepath.Dir(strings.TrimSpace(string(output))), nil
 }
--- a/internal/mutanttest/mutanttest_test.go
+++ b/internal/mutanttest/mutanttest_test.go
@@ -5,29 +5,29 @@
 	"testing"
 )
 
-// TestApply checks that a mutant changes exactly one place, or none at all.
+// TestApply checks that apply replaces a text that occurs exactly once, and fails for any other text.
 func TestApply(t *testing.T) {
 	cases := []struct {
 		name, source, want string
 		err                error
 	}{
-		{name: "one place", source: "if guard {", want: "if true || guard {"},
-		{name: "no place", source: "if other {", err: errNotUnique},
-		{name: "two places", source: "if guard { if guard {", err: errNotUnique},
+		{name: "one occurrence", source: "if guard {", want: "if true || guard {"},
+		{name: "no occurrence", source: "if other {", err: errNotUnique},
+		{name: "two occurrences", source: "if guard { if guard {", err: errNotUnique},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			mutant := Mutant{Name: "no guard", File: "file.go", Old: "if guard {", New: "if true || guard {"}
 			got, err := mutant.apply(c.source)
 			if got != c.want || !errors.Is(err, c.err) {
-				t.Errorf("got %q, %v, want %q, %v", got, err, c.want, c.err)
+				t.Errorf("got %q, error %v, want %q, error %v", got, err, c.want, c.err)
 			}
 		})
 	}
 }
 
-// TestExpectKilled runs TestApply on a mutant of this package that it must
-// catch: one that changes nothing.
+// TestExpectKilled checks that ExpectKilled accepts a mutant that fails a test: TestApply must fail if
+// apply returns the source unchanged.
 func TestExpectKilled(t *testing.T) {
 	ExpectKilled(t, Mutant{
 		Name: "no change",
