--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -13,58 +13,58 @@
 	"time"
 )
 
-// Request is what a client asks for.
+// Request is a request of a client.
 type Request struct {
 	ID              string
 	Class           string
-	Key             string // orders requests
+	Key             string // order key
 	IdempotencyKey  string
 	Tenant          string
 	Statement       string
-	Timeout         time.Duration // how long the client waits
-	WorkMS          int           // that the client expects; 0: it does not say
-	CloseConnection bool          // the client asks for the connection to be closed
-	DisconnectAfter time.Duration // if above 0, it closes its connection after this
+	Timeout         time.Duration // time for which the client waits for a response
+	WorkMS          int           // cost of the request as the client expects it; 0: not sent
+	CloseConnection bool          // the client sends Connection: close
+	DisconnectAfter time.Duration // if above 0, the client disconnects after this time without a response
 }
 
-// NoIdempotencyKey is an IdempotencyKey that stands for none, for callers that would
-// make one up.
+// NoIdempotencyKey is an IdempotencyKey that is not sent. It is for callers that generate a key if
+// IdempotencyKey is empty.
 const NoIdempotencyKey = "none"
 
-// Outcome is how a request ended, as its client saw it.
+// Outcome is the outcome of a request at its client.
 type Outcome struct {
 	Request
-	FrontEndAddr  string // the address that it was sent to
+	FrontEndAddr  string // address to which the request was sent
 	Sent          time.Time
 	Ended         time.Time
-	Written       bool // completely, to a connection that was accepted
-	Disconnected  bool // the client closed without an answer
-	Status        int  // of the last response; 0: none came
-	RetryAfterMS  int  // of a rejection
+	Written       bool // the whole request was written to an accepted connection
+	Disconnected  bool // the client disconnected before it received a response
+	Status        int  // of the last response; 0: no complete response was received
+	RetryAfterMS  int  // of the last response; 0: none
 	Err           string
 	Rows          [][]string
-	ProtocolError string // what was wrong with the responses; empty: nothing
+	ProtocolError string // error in reading or polling responses; empty: none
 }
 
-// Served reports whether the request was served completely.
+// Served reports whether the client received a complete and successful response.
 func (r *Outcome) Served() bool { return r.Status == 200 && r.Err == "" && r.ProtocolError == "" }
 
 // ResponseBody is the body of a response.
 type ResponseBody struct {
-	Poll string     `json:"poll"` // path of the response proper; empty: this is it
+	Poll string     `json:"poll"` // path to poll for the next response; empty: this is the last response
 	Page [][]string `json:"page"` // rows
 	Err  string     `json:"err"`
 }
 
 const (
 	connectTimeout = time.Second
-	// lateResponseGrace is how long after its deadline a client still listens, to
-	// distinguish a late response from none.
-	lateResponseGrace = 2 * time.Second
+	// lateResponseWait is the time after its deadline for which a client still waits, to distinguish
+	// a late response from no response.
+	lateResponseWait = 2 * time.Second
 )
 
-// Call sends a request on a connection of its own, polls the paths that it is given,
-// and returns what came back.
+// Call sends a request on a new connection, polls the paths in the responses, and returns the
+// outcome.
 func Call(addr string, q Request) Outcome {
 	r := Outcome{Request: q, FrontEndAddr: addr, Sent: time.Now()}
 	r.exchange(addr)
@@ -72,7 +72,7 @@
 	return r
 }
 
-// exchange sends the request and reads its responses.
+// exchange sends the request and reads the responses.
 func (r *Outcome) exchange(addr string) {
 	conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 	if err != nil {
@@ -80,7 +80,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	r.Sent = time.Now()
-	timeout := r.Timeout + lateResponseGrace
+	timeout := r.Timeout + lateResponseWait
 	if r.DisconnectAfter > 0 {
 		timeout = r.DisconnectAfter
 	}
@@ -102,8 +102,8 @@
 	}
 }
 
-// readResponse reads a response and returns the path to poll next; empty if there
-// is none.
+// readResponse reads a response and returns the path to poll next, or an empty string if there is
+// none.
 func (r *Outcome) readResponse(reader *bufio.Reader) (path string) {
 	status, head, body, err := ReadResponse(reader)
 	if err != nil {
@@ -125,24 +125,25 @@
 	}
 	r.Status = status
 	r.Err = content.Err
-	r.RetryAfterMS, _ = strconv.Atoi(head.Get("Srv-Wait-Ms")) // 0 without one
+	r.RetryAfterMS, _ = strconv.Atoi(head.Get("Srv-Wait-Ms")) // 0 without the header
 	return ""
 }
 
-// Healthy reports whether a front end answers that it is healthy.
+// Healthy reports whether a front end responds to a health check with status 200.
 func Healthy(addr string) bool {
 	status, _ := callOnce(addr, "GET /-/healthy HTTP/1.1\r\nHost: origin.svc\r\n\r\n", time.Second)
 	return status == 200
 }
 
-// CallOperatorAPI makes a call of the operators' API and returns the answer. Status 0:
-// there is none in time.
+// CallOperatorAPI sends a request to the operators' API and returns the response. Status 0 means that
+// there was no response within the time-out.
 func CallOperatorAPI(controlAddr, method, path string, timeout time.Duration) (status int, body []byte) {
-	return callOnce(controlAddr, fmt.Sprintf("%s /control/%s HTTP/1.1\r\nHost: x\r\n\r\n", method, path), timeout)
+	message := fmt.Sprintf("%s /control/%s HTTP/1.1\r\nHost: x\r\n\r\n", method, path)
+	return callOnce(controlAddr, message, timeout)
 }
 
-// callOnce sends a message on a connection of its own and returns the response. Status
-// 0: there is none in time.
+// callOnce sends a message on a new connection and returns the response. Status 0 means that there
+// was no response within the time-out.
 func callOnce(addr, message string, timeout time.Duration) (status int, body []byte) {
 	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -162,11 +163,11 @@
 	return status, body
 }
 
-// Message returns the bytes of the request.
+// Message returns the HTTP message of the request.
 func (q *Request) Message() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "POST /api/v2/%s HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: %s\r\nReq-Wait-Ms: %d\r\n", q.Class, q.ID,
-		q.Timeout.Milliseconds())
+	fmt.Fprintf(&b, "POST /api/v2/%s HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: %s\r\nReq-Wait-Ms: %d\r\n",
+		q.Class, q.ID, q.Timeout.Milliseconds())
 	fields := []struct{ name, value string }{
 		{"Req-Key", q.Key},
 		{"Req-Token", q.IdempotencyKey},
@@ -187,7 +188,7 @@
 	return b.String()
 }
 
-// ReadResponse reads an HTTP response whose body has a stated length.
+// ReadResponse reads an HTTP response with a Content-Length.
 func ReadResponse(r *bufio.Reader) (status int, head textproto.MIMEHeader, body []byte, err error) {
 	tp := textproto.NewReader(r)
 	line, err := tp.ReadLine()
@@ -195,7 +196,7 @@
 		return 0, nil, nil, err
 	}
 	if _, err := fmt.Sscanf(line, "HTTP/1.1 %d", &status); err != nil {
-		return 0, nil, nil, fmt.Errorf("first line %.40q", line)
+		return 0, nil, nil, fmt.Errorf("invalid status line %.40q", line)
 	}
 	head, err = tp.ReadMIMEHeader()
 	if err != nil {
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// The types below are the discovery service's JSON. They are kept apart from the
-// product's, so that a mistake there is not repeated here.
+// The types below are the JSON messages of the discovery service. They do not share code with the
+// program, so that tests detect a mistake in the types of the program.
 
-// Endpoint is an engine as the service lists it.
+// Endpoint is an engine on the endpoint list of the service.
 type Endpoint struct {
 	ID          string  `json:"host"`
 	Address     string  `json:"dial"`
@@ -33,28 +33,28 @@
 	Removed  = "left"
 )
 
-// Updates is a response of the service, and the form of a configuration's known
-// updates.
+// Updates is the body of a response of the service, and the form of the initial updates in a
+// configuration.
 type Updates struct {
 	Revision int      `json:"rev"`
 	Updates  []Update `json:"notices"`
 }
 
-// Update is one numbered event.
+// Update is an update of the endpoint list, with its revision.
 type Update struct {
 	Revision  int          `json:"rev"`
 	Endpoints EndpointList `json:"pool"`
 }
 
-// EndpointList is a complete list, if Snapshot is set, or the changed endpoints.
+// EndpointList is the complete endpoint list, if Snapshot is true, or else the changed endpoints.
 type EndpointList struct {
 	Seq       int        `json:"seq"`
 	Snapshot  bool       `json:"whole"`
 	Endpoints []Endpoint `json:"hosts"`
 }
 
-// OneUpdate returns a response with one update: a complete list if snapshot is set, or
-// the changed endpoints.
+// OneUpdate returns a response with one update: the complete endpoint list if snapshot is true, or
+// else the changed endpoints.
 func OneUpdate(revision int, snapshot bool, endpoints ...Endpoint) Updates {
 	list := EndpointList{Seq: revision, Snapshot: snapshot, Endpoints: append([]Endpoint{}, endpoints...)}
 	return Updates{Revision: revision, Updates: []Update{{Revision: revision, Endpoints: list}}}
@@ -64,44 +64,45 @@
 func (u Updates) JSON() string {
 	body, err := json.Marshal(u)
 	if err != nil {
-		panic(err) // a size that is no number
+		panic(err) // Size is NaN or infinite
 	}
 	return string(body)
 }
 
-// Poll is a front end's question for the updates after a revision.
+// Poll is a request of a front end for the updates after a revision.
 type Poll struct {
-	Number     int // among the service's polls, from 1
-	Connection int // number of the connection that it came on, from 1
+	Number     int // of the poll among all polls of the service, from 1
+	Connection int // number of the connection on which the poll was received, from 1
 	Revision   int
-	Linger     time.Duration // for which the service may wait for updates
+	Linger     time.Duration // time for which the service may wait for updates
 	Conn       net.Conn
 }
 
-// Respond writes a response to the poll. Whether it arrives is for the test to see.
+// Respond writes a response to the poll. Write errors are ignored: a test that depends on the response
+// checks that it was received.
 func (p Poll) Respond(body string) {
 	_, _ = fmt.Fprintf(p.Conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
 // Discovery is a fake discovery service.
 type Discovery struct {
-	Addr string // where it listens; empty: Start chooses a free loopback address
-	// Script, if it is set, returns the body of the response to a poll; empty: the service
-	// is silent. While it blocks, nothing else is read from the connection. Without a
-	// script the responses are the updates that were published.
+	Addr string // listening address; empty: Start chooses a free loopback address
+	// Script, if it is not nil, returns the body of the response to a poll, or an empty string for no
+	// response. While Script blocks, nothing is read from the connection. Without a script, the
+	// service responds with the published updates.
 	Script func(p Poll) string
 
-	mu             sync.Mutex
-	updates        []Update
-	changed        chan struct{} // closed when an update is added
-	polls          []Poll
-	connections    []net.Conn
-	openCount      int // connections that are served
-	maxConnections int // that were open at once
+	mu              sync.Mutex
+	updates         []Update
+	changed         chan struct{} // closed when an update is added
+	polls           []Poll
+	connections     []net.Conn
+	openConnections int // number of connections that are open
+	maxConnections  int // largest number of connections that were open at the same time
 }
 
-// NewDiscovery starts a service whose first update is a complete list. It ends with the
-// test.
+// NewDiscovery starts a service whose first update is the complete endpoint list. It stops listening
+// when the test ends.
 func NewDiscovery(t testing.TB, endpoints []Endpoint) *Discovery {
 	t.Helper()
 	d := &Discovery{changed: make(chan struct{})}
@@ -110,7 +111,7 @@
 	return d
 }
 
-// NewScriptedDiscovery starts a service with a script. It ends with the test.
+// NewScriptedDiscovery starts a service with a script. It stops listening when the test ends.
 func NewScriptedDiscovery(t testing.TB, script func(p Poll) string) *Discovery {
 	t.Helper()
 	d := &Discovery{Script: script}
@@ -118,7 +119,7 @@
 	return d
 }
 
-// Start starts the service; it ends with the test. Addr and Script are set before.
+// Start starts the service. It stops listening when the test ends. Addr and Script must be set before.
 func (d *Discovery) Start(t testing.TB) {
 	t.Helper()
 	if d.Addr == "" {
@@ -139,35 +140,35 @@
 	d.changed = make(chan struct{})
 }
 
-// UpdatesAfter returns the updates after a revision, and a channel that is closed when more
-// are added.
-func (d *Discovery) UpdatesAfter(rev int) (Updates, <-chan struct{}) {
+// UpdatesAfter returns the updates after a revision, and a channel that is closed when an update is
+// added.
+func (d *Discovery) UpdatesAfter(revision int) (Updates, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	rev = min(max(rev, 0), len(d.updates))
-	return Updates{len(d.updates), append([]Update{}, d.updates[rev:]...)}, d.changed
+	revision = min(max(revision, 0), len(d.updates))
+	return Updates{len(d.updates), append([]Update{}, d.updates[revision:]...)}, d.changed
 }
 
-// Polls returns those that the service has received so far, in order.
+// Polls returns the polls that the service has received so far, in order of arrival.
 func (d *Discovery) Polls() []Poll {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.polls)
 }
 
-// WasPolledAfter reports whether there was a poll for the updates after a revision.
+// WasPolledAfter reports whether the service has received a poll for the updates after a revision.
 func (d *Discovery) WasPolledAfter(revision int) bool {
 	return slices.ContainsFunc(d.Polls(), func(p Poll) bool { return p.Revision == revision })
 }
 
-// Connections returns those that were accepted.
+// Connections returns the accepted connections, including those that have ended.
 func (d *Discovery) Connections() []net.Conn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.connections)
 }
 
-// MaxConnections returns how many connections were open at once.
+// MaxConnections returns the largest number of connections that were open at the same time.
 func (d *Discovery) MaxConnections() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -187,10 +188,11 @@
 			return
 		}
 		revision, lingerMS := 0, 0
-		if _, err := fmt.Sscanf(line, "GET /board/poll?watch=%d&linger=%d", &revision, &lingerMS); err != nil {
+		_, err = fmt.Sscanf(line, "GET /board/poll?watch=%d&linger=%d", &revision, &lingerMS)
+		if err != nil {
 			return
 		}
-		poll := d.record(Poll{
+		poll := d.recordPoll(Poll{
 			Connection: number,
 			Revision:   revision,
 			Linger:     time.Duration(lingerMS) * time.Millisecond,
@@ -206,8 +208,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.connections = append(d.connections, c)
-	d.openCount++
-	d.maxConnections = max(d.maxConnections, d.openCount)
+	d.openConnections++
+	d.maxConnections = max(d.maxConnections, d.openConnections)
 	return len(d.connections)
 }
 
@@ -215,11 +217,11 @@
 	_ = c.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.openCount--
+	d.openConnections--
 }
 
-// record adds a poll to the records and returns it with its number.
-func (d *Discovery) record(p Poll) Poll {
+// recordPoll adds a poll to the records and returns the poll with its number.
+func (d *Discovery) recordPoll(p Poll) Poll {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	p.Number = len(d.polls) + 1
@@ -227,7 +229,7 @@
 	return p
 }
 
-// respond returns the body of the response to a poll; empty: there is none.
+// respond returns the body of the response to a poll, or an empty string for no response.
 func (d *Discovery) respond(p Poll) string {
 	if d.Script != nil {
 		return d.Script(p)
--- a/internal/fakes/engine.go
+++ b/internal/fakes/engine.go
@@ -1,15 +1,15 @@
-// Package fakes has fakes of what a platform front end talks to: engines, the discovery
-// service and clients. They speak the published protocol over loopback, record all
-// messages, and can be made to misbehave.
+// Package fakes has fakes of the peers of a front end: engines, the discovery service and clients.
+// They use the published protocol on loopback connections, record all messages, and can violate the
+// protocol on purpose.
 //
 //	engine.go     engines
-//	session.go    an engine's connections
-//	replies.go    the replies of engines
+//	session.go    connections of an engine
+//	replies.go    replies of engines
 //	discovery.go  the discovery service
 //	client.go     clients
-//	platform.go   what a platform configures
+//	platform.go   configuration, settings and environment of the program
 //	relay.go      a proxy that delays or breaks connections
-//	rules.go      the protocol's rules, checked from the records
+//	rules.go      checks of the rules of the protocol, from the records
 package fakes
 
 import (
@@ -19,47 +19,48 @@
 	"time"
 )
 
-// End is how an attempt at an engine ended.
+// End is the way in which an attempt at an engine ended.
 type End string
 
-// The ends of an attempt.
+// The ways in which an attempt ends.
 const (
-	Running          End = ""         // it has not ended
-	Replied          End = "answered" // its last reply was written
-	Cancelled        End = "given up" // KILL or DISCARD was received
-	ConnectionClosed End = "closed"   // with its connection
+	Running          End = ""                  // the attempt has not ended
+	Replied          End = "replied"           // the final reply was written
+	Cancelled        End = "cancelled"         // the front end sent KILL or DISCARD
+	ConnectionClosed End = "connection closed" // the connection ended before a final reply
 )
 
-// Attempt is one PULL that an engine received.
+// Attempt is a PULL command that an engine received.
 type Attempt struct {
-	ID, Engine, FrontEndAddr string // Front is the front end's address on the connection
+	ID, Engine, FrontEndAddr string // FrontEndAddr is the remote address of the connection
 	Fields                   map[string]string
-	RawFields                string // as they were received
+	RawFields                string // the text of Fields as received
 	Statement                string
 	ReceivedAt, EndedAt      time.Time
 	End                      End
-	Verb                     string // of the last reply, if it was answered
+	Verb                     string // of the final reply; empty if there is none or a script wrote it
 }
 
-// StatusNote is a reply before the last one.
+// StatusNote is a progress notice that an engine sends before the final reply.
 type StatusNote struct {
-	After  time.Duration
-	Fields string // as in note=share,num=0.4; "-" for none
+	After  time.Duration // from the request
+	Fields string        // as in note=share,num=0.4; "-": none
 }
 
-// Behavior is what an engine does with a request.
+// Behavior is the way in which an engine handles a request.
 type Behavior struct {
-	RawPrefix    string // written unchanged, at once
+	RawPrefix    string // written unchanged, as soon as the request is received
 	Notes        []StatusNote
-	Duration     time.Duration // from the request to the reply
-	Verb         string        // of the reply; empty: ACK
-	Pages        []string      // of an ACK; empty: one page without rows
-	RawReply     string        // written instead of a reply, and nothing after it
-	NeverReplies bool
-	Reset        bool // the connection is reset instead of a reply
+	Duration     time.Duration // from the request to the final reply
+	Verb         string        // of the final reply; empty: ACK
+	Pages        []string      // of the result, for ACK; empty: one page without rows
+	RawReply     string        // written unchanged instead of a final reply
+	NeverReplies bool          // there is no final reply
+	Reset        bool          // the connection is reset instead of a final reply
 }
 
-// mayHaveRun reports whether nothing recorded proves that the attempt never ran.
+// mayHaveRun reports whether the attempt may have run. Only a reply of AGAIN or STALE proves that an
+// attempt did not run.
 func (a *Attempt) mayHaveRun() bool {
 	return a.End != Replied || a.Verb != "AGAIN" && a.Verb != "STALE"
 }
@@ -67,63 +68,62 @@
 // Engine is a fake engine.
 type Engine struct {
 	ID, Addr string
-	// Handle decides what is done with a request; nil: it is answered at once.
+	// Handle returns how the engine handles a request; nil: the engine replies at once.
 	Handle func(a Attempt) Behavior
-	// Script, if it is set, answers requests and commands for pages instead of Respond:
-	// what it returns is written unchanged, also what the protocol does not allow. While
-	// it blocks, nothing else is read from the connection.
+	// Script, if it is not nil, handles requests and commands for pages instead of Handle. The
+	// returned text is written unchanged, even if it violates the protocol. While Script blocks,
+	// nothing is read from the connection.
 	Script Script
-	// IdleTimeout is how long a connection may be idle before the engine closes it; 0:
-	// for ever.
+	// IdleTimeout is the time after which the engine closes an idle connection; 0: never.
 	IdleTimeout time.Duration
 
 	mu             sync.Mutex
 	attempts       []*Attempt
-	protocolErrors []string // messages that the protocol does not allow
+	protocolErrors []string // messages from front ends that violate the protocol
 	commandCounts  map[string]int
 	connections    map[net.Conn]bool // open
-	acceptedCount  int               // connections
+	acceptedCount  int               // of connections
 }
 
-// Command is what a script answers: a request, or a demand for a further page of its
-// result.
+// Command is a command that a script handles: a request, or a command for a further page of the
+// result of a request.
 type Command struct {
 	ID        string
-	Statement string // of a request
-	Page      int    // number of the page, from 1; 0: the command is the request
+	Statement string // of the request; empty in a command for a page
+	Page      int    // number of the page, which is at least 1; 0: the command is a request
 }
 
-// Script returns what an engine writes for a command. ResetConnection resets the
-// connection instead.
+// Script returns the text that an engine writes for a command, or ResetConnection. An empty text
+// stands for no reply.
 type Script func(c Command) string
 
-// ResetConnection is what a script returns to have the connection reset.
+// ResetConnection is returned by a script to reset the connection.
 const ResetConnection = "reset"
 
-// NewEngine starts an engine on a free loopback address; it ends with the test.
-func NewEngine(t testing.TB, id string, do func(Attempt) Behavior) *Engine {
+// NewEngine starts an engine on a free loopback address. It stops listening when the test ends.
+func NewEngine(t testing.TB, id string, handle func(Attempt) Behavior) *Engine {
 	t.Helper()
-	e := &Engine{ID: id, Handle: do}
+	e := &Engine{ID: id, Handle: handle}
 	e.Start(t)
 	return e
 }
 
-// NewScriptedEngine starts an engine with a script on a free loopback address; it ends
-// with the test, which fails if the engine was sent what the protocol does not allow.
+// NewScriptedEngine starts an engine with a script on a free loopback address. It stops listening
+// when the test ends. The test fails if the engine received a message that violates the protocol.
 func NewScriptedEngine(t testing.TB, id string, script Script) *Engine {
 	t.Helper()
 	e := &Engine{ID: id, Script: script}
 	e.Start(t)
 	t.Cleanup(func() {
 		for _, message := range e.ProtocolErrors() {
-			t.Errorf("engine %s was sent what the protocol does not allow: %s", id, message)
+			t.Errorf("engine %s received a message that violates the protocol: %s", id, message)
 		}
 	})
 	return e
 }
 
-// Start starts an engine on a free loopback address; it ends with the test. ID, Respond,
-// Script and IdleTimeout are set before.
+// Start starts the engine on a free loopback address. It stops listening when the test ends. ID,
+// Handle, Script and IdleTimeout must be set before.
 func (e *Engine) Start(t testing.TB) {
 	t.Helper()
 	e.commandCounts, e.connections = map[string]int{}, map[net.Conn]bool{}
@@ -139,14 +139,15 @@
 	})
 }
 
-// Listen serves connections on a free loopback address until the test ends.
+// Listen accepts connections on a free loopback address until the test ends, and calls serve for
+// each in a new goroutine.
 func Listen(t testing.TB, serve func(net.Conn)) (addr string) {
 	t.Helper()
 	return listenOn(t, "127.0.0.1:0", serve)
 }
 
-// listenOn serves connections on an address until the test ends, and returns the
-// address with its port.
+// listenOn accepts connections on an address until the test ends, calls serve for each in a new
+// goroutine, and returns the address with the port in use.
 func listenOn(t testing.TB, addr string, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", addr)
@@ -166,7 +167,7 @@
 	return l.Addr().String()
 }
 
-// Attempts returns those that the engine has received so far, in order.
+// Attempts returns the attempts that the engine has received so far, in order of arrival.
 func (e *Engine) Attempts() []Attempt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -177,29 +178,28 @@
 	return out
 }
 
-// ProtocolErrors returns the messages received that the protocol does not allow.
+// ProtocolErrors returns descriptions of the received messages that violate the protocol.
 func (e *Engine) ProtocolErrors() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string(nil), e.protocolErrors...)
 }
 
-// CommandCount returns how many commands with a verb the engine has received.
+// CommandCount returns the number of commands with a verb that the engine has received.
 func (e *Engine) CommandCount(verb string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.commandCounts[verb]
 }
 
-// ConnectionCounts returns how many connections were accepted, and how many of them have
-// ended.
+// ConnectionCounts returns the number of accepted connections, and how many of them have ended.
 func (e *Engine) ConnectionCounts() (accepted, ended int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.acceptedCount, e.acceptedCount - len(e.connections)
 }
 
-// ResetAll resets all connections to the engine.
+// ResetAll resets all open connections to the engine.
 func (e *Engine) ResetAll() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -208,6 +208,7 @@
 	}
 }
 
+// reset closes a TCP connection with RST.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/fakes/relay.go
+++ b/internal/fakes/relay.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Mode is what a relay does with what passes through it.
+// Mode is the way in which a relay handles connections and data.
 type Mode int
 
 // The modes of a relay.
 const (
-	Pass  Mode = iota // everything passes
-	Delay             // what the target sends passes only when the mode changes
-	Close             // connections are reset, and new ones closed at once
+	Pass  Mode = iota // all data is forwarded
+	Delay             // data from the target is forwarded only after the mode has changed
+	Close             // open connections are reset, and new connections are closed at once
 )
 
-// Relay is a proxy between a front end and one target that can cause faults.
+// Relay is a proxy between front ends and one target that can delay data and break connections.
 type Relay struct {
 	Addr string
 
 	target      string
 	mu          sync.Mutex
 	mode        Mode
-	changed     chan struct{} // closed when the mode changes
-	connections map[net.Conn]bool
+	changed     chan struct{}     // closed when the mode changes
+	connections map[net.Conn]bool // from front ends, open
 }
 
-// NewRelay starts a relay to a target; it ends with the test.
+// NewRelay starts a relay to a target. It stops listening when the test ends.
 func NewRelay(t testing.TB, target string) *Relay {
 	t.Helper()
 	r := &Relay{target: target, changed: make(chan struct{}), connections: map[net.Conn]bool{}}
@@ -36,7 +36,7 @@
 	return r
 }
 
-// SetMode changes the relay's mode.
+// SetMode changes the mode of the relay.
 func (r *Relay) SetMode(m Mode) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// waitWhile waits until the relay is not in a mode.
+// waitWhile waits until the relay is no longer in a mode.
 func (r *Relay) waitWhile(m Mode) {
 	for {
 		r.mu.Lock()
@@ -91,7 +91,8 @@
 	forward(c, out, func() { r.waitWhile(Delay) })
 }
 
-// forward copies until either side ends, and waits before each write.
+// forward copies data until either connection ends. It calls wait after each read, so that data is
+// written only after wait has returned.
 func forward(to, from net.Conn, wait func()) {
 	buf := make([]byte, 16<<10)
 	for {
--- a/internal/fakes/rules.go
+++ b/internal/fakes/rules.go
@@ -8,41 +8,45 @@
 	"time"
 )
 
-// Tolerance is what the rules allow on sockets beyond each of their time limits.
+// Tolerance is added to each time limit of the rules, for delays on sockets.
 const Tolerance = 50 * time.Millisecond
 
-// The limits that the settings do not set.
+// Status codes and limits that are not in the settings.
 const (
 	statusTooMany  = 429
 	statusRejected = 503
 
-	lateAnswerGrace = 500 * time.Millisecond // for an answer after its deadline
-	disconnectGrace = 100 * time.Millisecond // for an attempt to begin after its client disconnected
-	deadlineSlack   = 150 * time.Millisecond // of the time that engines are told, beyond what the client has left
+	lateResponseTolerance = 500 * time.Millisecond // for a response after its deadline
+	disconnectGrace       = 100 * time.Millisecond // for an attempt after its client disconnected
+	// deadlineSlack is by how much the time limit sent to an engine may exceed the time until the
+	// deadline of the client.
+	deadlineSlack = 150 * time.Millisecond
 )
 
-// Rules are the protocol's rules, as the settings have them.
+// Rules are the rules of the protocol, with the values of the settings. During KeySettle, no further
+// attempt with the key of the earlier attempt may arrive at an engine. After DrainGrace, no attempt
+// may arrive at the drained engine.
 type Rules struct {
-	OrderedClasses       map[string]bool // classes whose requests with one key run in order
-	NotIdempotentClasses map[string]bool // classes that must not run twice
-	KeySettle            time.Duration   // after an attempt that may still run, until the key's next one
-	DrainGrace           time.Duration
-	Rows                 func(id string) [][]string // that engines send for a request; nil: not checked
-	DrainedAt            map[string]time.Time       // engines, and when their drain was published
-	Restarts             map[string][]Restart       // of front ends
-	KilledAt             map[string][]time.Time     // of front ends: what they had open is lost
+	OrderedClasses       map[string]bool            // classes whose requests with one key run in order
+	NotIdempotentClasses map[string]bool            // classes that must not run twice
+	KeySettle            time.Duration              // after an attempt that may still run
+	DrainGrace           time.Duration              // after the drain of an engine
+	Rows                 func(id string) [][]string // rows that engines send for a request; nil: not checked
+	DrainedAt            map[string]time.Time       // publication of the drain, by engine
+	Restarts             map[string][]Restart       // by front end
+	KilledAt             map[string][]time.Time     // by front end; requests open then are lost
 	RetryBudget          RetryBudget
 }
 
-// Restart is the time from the end of a front end's process until the next one takes
-// clients. Until is zero if it has not yet.
+// Restart is the period from the end of a process of a front end until the next process accepts
+// requests. Until is zero if the next process does not accept requests yet.
 type Restart struct {
 	From  time.Time
 	Until time.Time
 }
 
-// overlaps reports whether a part of the restart is between two times. Meanwhile either
-// process may take a request.
+// overlaps reports whether the restart overlaps the period between two times. During a restart,
+// either process may accept a request.
 func (r Restart) overlaps(from, until time.Time) bool {
 	return !r.From.After(until) && (r.Until.IsZero() || !r.Until.Before(from))
 }
@@ -50,50 +54,53 @@
 // RetryBudget bounds the retries that a front end makes within a window.
 type RetryBudget struct {
 	Base       float64
-	PerRequest float64       // for each request that it took in the window
-	Window     time.Duration // 0: not bounded
+	PerRequest float64       // for each request that it received in the window
+	Window     time.Duration // 0: no limit
 }
 
-// budgetTolerance multiplies the budget on sockets, where one more retry is allowed
-// too.
+// budgetTolerance is the factor by which retries on sockets may exceed the budget. In addition, one
+// more retry is allowed.
 const budgetTolerance = 1.15
 
-// checker collects the broken rules that the records show.
+// checker collects the violations of the rules that the records show.
 type checker struct {
-	rules    *Rules
-	replies  []Outcome
-	attempts map[string][]Attempt // by request, in order of arrival
-	broken   []string
+	rules      *Rules
+	outcomes   []Outcome
+	attempts   map[string][]Attempt // by request, in order of arrival
+	violations []string
 }
 
+// report adds a violation.
 func (c *checker) report(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// Check returns the broken rules that the records of clients and engines show.
-func (rules *Rules) Check(replies []Outcome, engines []*Engine) (broken []string) {
-	c := &checker{rules: rules, replies: replies, attempts: map[string][]Attempt{}}
+// Check returns the violations of the rules that the records of clients and engines show.
+func (rules *Rules) Check(outcomes []Outcome, engines []*Engine) (violations []string) {
+	c := &checker{rules: rules, outcomes: outcomes, attempts: map[string][]Attempt{}}
 	c.collectAttempts(engines)
 	c.checkAttempts()
-	for i := range replies {
-		c.checkReply(&replies[i])
+	for i := range outcomes {
+		c.checkOutcome(&outcomes[i])
 	}
 	c.checkOrder()
 	c.checkRetryBudget()
-	return c.broken
+	return c.violations
 }
 
-// collectAttempts sorts the attempts by request and checks what needs no request.
+// collectAttempts groups the attempts by request. It checks the rules that do not depend on the
+// request: no protocol errors, and no attempts at drained engines.
 func (c *checker) collectAttempts(engines []*Engine) {
 	for _, e := range engines {
 		for _, text := range e.ProtocolErrors() {
-			c.report("form: engine %s: %s", e.ID, text)
+			c.report("protocol: engine %s: %s", e.ID, text)
 		}
 		for _, a := range e.Attempts() {
 			c.attempts[a.ID] = append(c.attempts[a.ID], a)
 			drainedAt, draining := c.rules.DrainedAt[a.Engine]
 			if draining && a.ReceivedAt.After(drainedAt.Add(c.rules.DrainGrace+Tolerance)) {
-				c.report("drain: %s was sent to %s %v after its drain", a.ID, a.Engine, a.ReceivedAt.Sub(drainedAt))
+				c.report("drain: %s was sent to %s %v after the engine was drained",
+					a.ID, a.Engine, a.ReceivedAt.Sub(drainedAt))
 			}
 		}
 	}
@@ -102,46 +109,48 @@
 	}
 }
 
-// checkAttempts checks each request's attempts against the request.
+// checkAttempts checks the attempts of each request against the request.
 func (c *checker) checkAttempts() {
-	replies := map[string]*Outcome{}
-	for i := range c.replies {
-		replies[c.replies[i].ID] = &c.replies[i]
+	outcomes := map[string]*Outcome{}
+	for i := range c.outcomes {
+		outcomes[c.outcomes[i].ID] = &c.outcomes[i]
 	}
 	for _, id := range sortedKeys(c.attempts) {
-		r := replies[id]
+		r := outcomes[id]
 		if r == nil {
-			c.report("form: engines received %s, which no client sent", id)
+			c.report("protocol: engines received %s, which no client sent", id)
 			continue
 		}
 		attempts := c.attempts[id]
 		c.checkNotIdempotent(r, attempts)
 		for i, a := range attempts {
 			for _, text := range forwardingErrors(r, a) {
-				c.report("form: %s at %s: %s", id, a.Engine, text)
+				c.report("protocol: %s at %s: %s", id, a.Engine, text)
 			}
 			if i > 0 && inFlightTogether(attempts[i-1], a) {
-				c.report("duplicate: %s was sent to %s while in flight at %s (%v after it arrived there; its end: %s)", id, a.Engine,
-					attempts[i-1].Engine, a.ReceivedAt.Sub(attempts[i-1].ReceivedAt), describeEnd(attempts[i-1]))
+				earlier := attempts[i-1]
+				c.report("duplicate: %s was sent to %s while in flight at %s "+
+					"(%v after it arrived there; end there: %s)",
+					id, a.Engine, earlier.Engine, a.ReceivedAt.Sub(earlier.ReceivedAt), describeEnd(earlier))
 			}
 			if r.Disconnected && a.ReceivedAt.After(r.Ended.Add(disconnectGrace+Tolerance)) {
-				c.report("lost: %s was sent to %s %v after its client had disconnected", id, a.Engine, a.ReceivedAt.Sub(r.Ended))
+				c.report("lost: %s was sent to %s %v after its client had disconnected",
+					id, a.Engine, a.ReceivedAt.Sub(r.Ended))
 			}
 		}
 	}
 }
 
-// checkRetryBudget checks the retries of each front end in every window that ends
-// with one. Windows with a restart are left out, as the budget starts anew with the
-// process.
+// checkRetryBudget checks the number of retries of each front end in each window that ends with a
+// retry. Windows that overlap a restart are not checked, as each process starts with a full budget.
 func (c *checker) checkRetryBudget() {
 	if c.rules.RetryBudget.Window == 0 {
 		return
 	}
 	requests := map[string][]time.Time{}
 	retries := map[string][]time.Time{}
-	for i := range c.replies {
-		r := &c.replies[i]
+	for i := range c.outcomes {
+		r := &c.outcomes[i]
 		if r.Written {
 			requests[r.FrontEndAddr] = append(requests[r.FrontEndAddr], r.Sent)
 		}
@@ -151,25 +160,26 @@
 			}
 		}
 	}
-	for _, front := range sortedKeys(retries) {
-		for _, end := range retries[front] {
-			c.checkBudgetWindow(front, end, requests[front], retries[front])
+	for _, frontEnd := range sortedKeys(retries) {
+		for _, end := range retries[frontEnd] {
+			c.checkBudgetWindow(frontEnd, end, requests[frontEnd], retries[frontEnd])
 		}
 	}
 }
 
-// checkBudgetWindow checks the window that ends at a time.
-func (c *checker) checkBudgetWindow(front string, end time.Time, requests, retries []time.Time) {
+// checkBudgetWindow checks the window that ends at the given time.
+func (c *checker) checkBudgetWindow(frontEnd string, end time.Time, requests, retries []time.Time) {
 	budget := c.rules.RetryBudget
 	restarted := func(r Restart) bool { return r.overlaps(end.Add(-budget.Window), end) }
-	if slices.ContainsFunc(c.rules.Restarts[front], restarted) {
+	if slices.ContainsFunc(c.rules.Restarts[frontEnd], restarted) {
 		return
 	}
 	within := func(t time.Time) bool { return !t.After(end) && end.Sub(t) < budget.Window }
 	made := countIf(retries, within)
 	allowed := (budget.Base+budget.PerRequest*countIf(requests, within))*budgetTolerance + 1
 	if made > allowed {
-		c.report("budget: %s made %.0f retries within %v, %.1f are allowed", front, made, budget.Window, allowed)
+		c.report("budget: %s made %.0f retries within %v, %.1f are allowed",
+			frontEnd, made, budget.Window, allowed)
 	}
 }
 
@@ -192,8 +202,8 @@
 	return keys
 }
 
-// checkNotIdempotent checks that a request that must not run twice was retried, or
-// rejected, only if every attempt before provably never ran.
+// checkNotIdempotent checks that a request that must not run twice was retried or rejected only if
+// each earlier attempt certainly did not run.
 func (c *checker) checkNotIdempotent(r *Outcome, attempts []Attempt) {
 	if !c.rules.NotIdempotentClasses[r.Class] {
 		return
@@ -204,48 +214,52 @@
 			continue
 		}
 		if i+1 < len(attempts) {
-			c.report("duplicate: %s, not idempotent, may have run at %s (its end: %s %s) and was sent to %s", r.ID, a.Engine,
-				describeEnd(a), a.Verb, attempts[i+1].Engine)
+			c.report("duplicate: %s, not idempotent, may have run at %s (end there: %s %s) "+
+				"and was sent to %s",
+				r.ID, a.Engine, describeEnd(a), a.Verb, attempts[i+1].Engine)
 		}
 		if rejected {
-			c.report("duplicate: %s, not idempotent, may have run at %s (its end: %s %s) and was rejected", r.ID, a.Engine,
-				describeEnd(a), a.Verb)
+			c.report("duplicate: %s, not idempotent, may have run at %s (end there: %s %s) and was rejected",
+				r.ID, a.Engine, describeEnd(a), a.Verb)
 		}
 	}
 }
 
-// forwardingErrors returns how an attempt differs from its client's request.
-func forwardingErrors(r *Outcome, a Attempt) (wrong []string) {
+// forwardingErrors returns the differences between an attempt and the request of the client.
+func forwardingErrors(r *Outcome, a Attempt) (differences []string) {
 	if a.Fields["c"] != r.Class {
-		wrong = append(wrong, fmt.Sprintf("class %q, sent as %q", a.Fields["c"], r.Class))
+		differences = append(differences, fmt.Sprintf("class %q, sent as %q", a.Fields["c"], r.Class))
 	}
 	if a.Statement != r.Statement {
-		wrong = append(wrong, fmt.Sprintf("statement %q, sent as %q", a.Statement, r.Statement))
+		differences = append(differences, fmt.Sprintf("statement %q, sent as %q", a.Statement, r.Statement))
 	}
 	if a.Fields["i"] != r.IdempotencyKey {
-		wrong = append(wrong, fmt.Sprintf("idempotency key %q, sent as %q", a.Fields["i"], r.IdempotencyKey))
+		differences = append(differences,
+			fmt.Sprintf("idempotency key %q, sent as %q", a.Fields["i"], r.IdempotencyKey))
 	}
 	w, err := strconv.Atoi(a.Fields["w"])
 	remaining := r.Sent.Add(r.Timeout).Sub(a.ReceivedAt)
 	if err != nil || w <= 0 {
-		wrong = append(wrong, fmt.Sprintf("deadline %q", a.Fields["w"]))
+		differences = append(differences, fmt.Sprintf("time limit %q", a.Fields["w"]))
 	} else if time.Duration(w)*time.Millisecond > remaining+deadlineSlack {
-		wrong = append(wrong, fmt.Sprintf("deadline %d ms, %v remain", w, remaining))
+		differences = append(differences,
+			fmt.Sprintf("time limit %d ms, but only %v remain until the deadline", w, remaining))
 	}
 	for name := range a.Fields {
 		if !slices.Contains([]string{"c", "w", "i", "nice"}, name) {
-			wrong = append(wrong, fmt.Sprintf("unknown field %q", name))
+			differences = append(differences, fmt.Sprintf("unknown field %q", name))
 		}
 	}
-	return wrong
+	return differences
 }
 
-// inFlightTogether reports whether the second attempt arrived while the first was in
-// flight.
+// inFlightTogether reports whether the second attempt arrived more than Tolerance before the end of
+// the first.
 func inFlightTogether(first, second Attempt) bool {
 	return first.End == Running || first.EndedAt.Sub(second.ReceivedAt) > Tolerance
 }
 
+// describeEnd returns the end of an attempt and its duration.
 func describeEnd(a Attempt) string {
 	if a.End == Running {
 		return "none"
@@ -253,43 +267,47 @@
 	return fmt.Sprintf("%s after %v", a.End, a.EndedAt.Sub(a.ReceivedAt))
 }
 
-// checkReply checks that a request that was taken got one complete answer in time.
-func (c *checker) checkReply(r *Outcome) {
-	if !r.Written || r.Disconnected || c.rules.frontKilled(r) {
+// checkOutcome checks that the client of a request received a complete and correct response in time.
+// Requests that were not sent, or whose client disconnected or front end was killed, are exempt.
+func (c *checker) checkOutcome(r *Outcome) {
+	if !r.Written || r.Disconnected || c.rules.frontEndKilled(r) {
 		return
 	}
 	elapsed := r.Ended.Sub(r.Sent)
 	switch {
 	case r.ProtocolError != "":
 		c.report("lost: %s %s: %s after %v", r.Class, r.ID, r.ProtocolError, elapsed)
-	case elapsed > r.Timeout+lateAnswerGrace:
-		c.report("lost: %s %s was answered after %v, its client waits %v", r.Class, r.ID, elapsed, r.Timeout)
+	case elapsed > r.Timeout+lateResponseTolerance:
+		c.report("lost: %s %s received its response after %v, its client waits %v",
+			r.Class, r.ID, elapsed, r.Timeout)
 	case r.Served() && c.rules.Rows != nil && fmt.Sprint(r.Rows) != fmt.Sprint(c.rules.Rows(r.ID)):
-		c.report("lost: %s %s was served %v, engines sent %v", r.Class, r.ID, r.Rows, c.rules.Rows(r.ID))
+		c.report("lost: %s %s received rows %v, engines sent %v", r.Class, r.ID, r.Rows, c.rules.Rows(r.ID))
 	}
 }
 
-// frontKilled reports whether the front end of a request was killed while it was open.
-func (rules *Rules) frontKilled(r *Outcome) bool {
+// frontEndKilled reports whether the front end of a request was killed while the request was open.
+func (rules *Rules) frontEndKilled(r *Outcome) bool {
 	return slices.ContainsFunc(rules.KilledAt[r.FrontEndAddr], func(t time.Time) bool {
 		return !t.Before(r.Sent.Add(-Tolerance)) && !t.After(r.Ended.Add(Tolerance))
 	})
 }
 
-// checkOrder checks that the requests of one key that one front end took ran one at a
-// time, in the order in which their clients sent them. Clients of one key must leave
-// time between any two.
+// checkOrder checks that requests with the same key ran one at a time, in the order in which the
+// clients sent them. A front end orders only the requests that it received, so clients must send all
+// requests with one key to one front end, and must leave time between any two of them.
 func (c *checker) checkOrder() {
 	byKey := map[string][]*Outcome{}
-	for i := range c.replies {
-		r := &c.replies[i]
+	for i := range c.outcomes {
+		r := &c.outcomes[i]
 		if r.Key != "" && c.rules.OrderedClasses[r.Class] {
 			byKey[r.Key] = append(byKey[r.Key], r)
 		}
 	}
 	for _, key := range sortedKeys(byKey) {
 		requests := byKey[key]
-		slices.SortFunc(requests, func(a, b *Outcome) int { return cmp.Or(a.Sent.Compare(b.Sent), cmp.Compare(a.ID, b.ID)) })
+		slices.SortFunc(requests, func(a, b *Outcome) int {
+			return cmp.Or(a.Sent.Compare(b.Sent), cmp.Compare(a.ID, b.ID))
+		})
 		for i, first := range requests {
 			for _, next := range requests[i+1:] {
 				c.checkPair(key, first, next)
@@ -298,7 +316,7 @@
 	}
 }
 
-// checkPair checks the order of two requests with one key.
+// checkPair checks the order of two requests with the same key.
 func (c *checker) checkPair(key string, first, next *Outcome) {
 	if c.rules.restarted(first, next) {
 		return
@@ -308,23 +326,26 @@
 	}
 }
 
-// restarted reports whether a front end was restarted between two requests: a process
-// keeps the order only of those that it has taken itself.
+// restarted reports whether the front end was restarted between two requests: a process keeps the
+// order only of the requests that it received itself.
 func (rules *Rules) restarted(first, later *Outcome) bool {
-	return slices.ContainsFunc(rules.Restarts[first.FrontEndAddr], func(r Restart) bool { return r.overlaps(first.Sent, later.Ended) })
+	return slices.ContainsFunc(rules.Restarts[first.FrontEndAddr], func(r Restart) bool {
+		return r.overlaps(first.Sent, later.Ended)
+	})
 }
 
-// orderViolation returns how attempts of a later request overlapped those of an earlier
-// one; empty if they did not.
+// orderViolation returns a description of the first overlap of an attempt of the later request with
+// an attempt of the earlier request, or an empty string if there is none.
 func (rules *Rules) orderViolation(first, later []Attempt) string {
 	for _, a := range first {
 		for _, b := range later {
-			rest := -Tolerance
+			settle := -Tolerance
 			if a.End != Replied {
-				rest += rules.KeySettle
+				settle += rules.KeySettle
 			}
-			if a.End == Running || a.EndedAt.Add(rest).After(b.ReceivedAt) {
-				return fmt.Sprintf("sent to %s %v after the earlier one arrived at %s (its end: %s)", b.Engine, b.ReceivedAt.Sub(a.ReceivedAt), a.Engine, describeEnd(a))
+			if a.End == Running || a.EndedAt.Add(settle).After(b.ReceivedAt) {
+				return fmt.Sprintf("sent to %s %v after the earlier request arrived at %s (end there: %s)",
+					b.Engine, b.ReceivedAt.Sub(a.ReceivedAt), a.Engine, describeEnd(a))
 			}
 		}
 	}
--- a/internal/fakes/session.go
+++ b/internal/fakes/session.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// session is one connection of a front end to an engine.
+// session is a connection of a front end to an engine.
 type session struct {
 	engine   *Engine
 	conn     net.Conn
 	writeMu  sync.Mutex
-	attempts map[string]*Attempt // open, by id; guarded by engine.mu, as is pages
-	pages    map[string][]string
+	attempts map[string]*Attempt // open attempts, by id; guarded by engine.mu
+	pages    map[string][]string // pages of results, by id of the request; guarded by engine.mu
 }
 
 const (
@@ -26,9 +26,9 @@
 	lineEnd           = "\r\n"
 )
 
-// serve handles commands until the connection ends or breaks the protocol.
+// serve handles commands until the connection ends or a command violates the protocol.
 func (s *session) serve() {
-	defer s.endAll()
+	defer s.endOpenAttempts()
 	reader := bufio.NewReader(s.conn)
 	for {
 		line, err := s.nextLine(reader)
@@ -41,7 +41,7 @@
 	}
 }
 
-// handle handles a command and reports whether the connection goes on.
+// handle handles a command and reports whether the connection stays open.
 func (s *session) handle(line string, reader *bufio.Reader) bool {
 	words := strings.Split(strings.TrimSuffix(line, lineEnd), " ")
 	verb := words[0]
@@ -59,7 +59,7 @@
 	case (verb == "ECHO" || verb == "METER") && len(arguments) == 1:
 		s.send("%s", emptyReply(arguments[0], "READY"))
 	default:
-		s.violation("command %q", line)
+		s.recordViolation("command %q", line)
 		return false
 	}
 	return true
@@ -71,10 +71,12 @@
 	s.engine.commandCounts[verb]++
 }
 
+// readStatement reads a statement and the line end after it. ok is false if the connection must be
+// closed.
 func (s *session) readStatement(reader *bufio.Reader, length string) (statement string, ok bool) {
 	n, err := strconv.Atoi(length)
 	if err != nil || n < 0 || n > maxStatementBytes {
-		s.violation("length %q", length)
+		s.recordViolation("length %q", length)
 		return "", false
 	}
 	body := make([]byte, n+len(lineEnd))
@@ -84,7 +86,7 @@
 	return string(body[:n]), true
 }
 
-// nextLine reads a line. It fails when the connection has been idle for too long.
+// nextLine reads a line. It fails if no attempt is open and nothing is received within IdleTimeout.
 func (s *session) nextLine(reader *bufio.Reader) (string, error) {
 	for {
 		if s.engine.IdleTimeout > 0 {
@@ -110,14 +112,13 @@
 	return len(s.attempts) > 0
 }
 
-func (s *session) violation(format string, args ...any) {
+func (s *session) recordViolation(format string, args ...any) {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	s.engine.protocolErrors = append(s.engine.protocolErrors, fmt.Sprintf(format, args...))
 }
 
-// startAttempt records an attempt and responds to it. It reports whether the connection
-// goes on.
+// startAttempt records an attempt and handles it. It reports whether the connection stays open.
 func (s *session) startAttempt(id, fields, statement string) bool {
 	a := &Attempt{
 		ID:           id,
@@ -128,97 +129,99 @@
 		Statement:    statement,
 		ReceivedAt:   time.Now(),
 	}
-	recorded := s.record(a)
+	recorded := s.recordAttempt(a)
 	if s.engine.Script != nil {
 		return s.runScript(Command{ID: id, Statement: statement})
 	}
-	response := Behavior{}
+	behavior := Behavior{}
 	if s.engine.Handle != nil {
-		response = s.engine.Handle(recorded)
+		behavior = s.engine.Handle(recorded)
 	}
-	go s.respond(a, response)
+	go s.respond(a, behavior)
 	return true
 }
 
-// runScript writes what the engine's script returns for a command, and reports whether
-// the connection goes on.
+// runScript writes the text that the script of the engine returns for a command, and reports whether
+// the connection stays open.
 func (s *session) runScript(c Command) bool {
-	answer := s.engine.Script(c)
-	if answer == ResetConnection {
+	reply := s.engine.Script(c)
+	if reply == ResetConnection {
 		reset(s.conn)
 		return false
 	}
-	if answer != "" {
+	if reply != "" {
 		s.endAttempt(c.ID, Replied)
-		s.send("%s", answer)
+		s.send("%s", reply)
 	}
 	return true
 }
 
+// parseFields parses the fields of an attempt. A malformed or repeated field violates the protocol.
 func (s *session) parseFields(id, text string) map[string]string {
 	fields := map[string]string{}
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, found := strings.Cut(part, "=")
 		if _, repeated := fields[name]; !found || repeated {
-			s.violation("fields %q of %s", text, id)
+			s.recordViolation("fields %q of %s", text, id)
 		}
 		fields[name] = value
 	}
 	return fields
 }
 
-// record adds an attempt to the records and returns a copy of it.
-func (s *session) record(a *Attempt) Attempt {
+// recordAttempt adds an attempt to the records and returns a copy of it.
+func (s *session) recordAttempt(a *Attempt) Attempt {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	if s.attempts[a.ID] != nil {
-		s.engine.protocolErrors = append(s.engine.protocolErrors, "id "+a.ID+" is open on this connection already")
+		s.engine.protocolErrors = append(s.engine.protocolErrors,
+			"id "+a.ID+" is open already on this connection")
 	}
 	s.engine.attempts = append(s.engine.attempts, a)
 	s.attempts[a.ID] = a
 	return *a
 }
 
-// respond sends a response, as long as the attempt is open.
-func (s *session) respond(a *Attempt, r Behavior) {
+// respond carries out the behavior for an attempt, as long as the attempt is open.
+func (s *session) respond(a *Attempt, b Behavior) {
 	started := time.Now()
-	if r.RawPrefix != "" {
-		s.send("%s", r.RawPrefix)
+	if b.RawPrefix != "" {
+		s.send("%s", b.RawPrefix)
 	}
-	for _, note := range r.Notes {
+	for _, note := range b.Notes {
 		time.Sleep(time.Until(started.Add(note.After)))
 		if !s.isOpen(a) {
 			return
 		}
 		s.send("%s EVENT %s 0\r\n\r\n", a.ID, note.Fields)
 	}
-	if r.NeverReplies {
+	if b.NeverReplies {
 		return
 	}
-	time.Sleep(time.Until(started.Add(r.Duration)))
+	time.Sleep(time.Until(started.Add(b.Duration)))
 	if s.isOpen(a) {
-		s.sendLast(a, r)
+		s.sendFinalReply(a, b)
 	}
 }
 
-// sendLast sends the last reply of an attempt.
-func (s *session) sendLast(a *Attempt, r Behavior) {
+// sendFinalReply sends the final reply of an attempt, or resets the connection.
+func (s *session) sendFinalReply(a *Attempt, b Behavior) {
 	switch {
-	case r.Reset:
+	case b.Reset:
 		reset(s.conn)
-	case r.RawReply != "":
-		s.send("%s", r.RawReply)
-		s.answered(a.ID, "ACK")
-	case r.Verb != "" && r.Verb != "ACK":
-		s.answered(a.ID, r.Verb)
-		s.send("%s", emptyReply(a.ID, r.Verb))
+	case b.RawReply != "":
+		s.send("%s", b.RawReply)
+		s.recordReply(a.ID, "ACK")
+	case b.Verb != "" && b.Verb != "ACK":
+		s.recordReply(a.ID, b.Verb)
+		s.send("%s", emptyReply(a.ID, b.Verb))
 	default:
-		pages := r.Pages
+		pages := b.Pages
 		if len(pages) == 0 {
 			pages = []string{""}
 		}
 		s.keepPages(a.ID, pages)
-		s.answered(a.ID, "ACK")
+		s.recordReply(a.ID, "ACK")
 		s.send("%s", ResultReply(a.ID, fmt.Sprintf("batches=%d,cpu=10,used=4", len(pages)), pages[0]))
 	}
 }
@@ -229,11 +232,11 @@
 	s.pages[id] = pages
 }
 
-// sendPage sends a further page of a result. It reports whether the connection goes on.
+// sendPage sends a further page of a result. It reports whether the connection stays open.
 func (s *session) sendPage(id, number string) bool {
 	k, err := strconv.Atoi(number)
 	if err != nil || k < 1 {
-		s.violation("page %q of %s", number, id)
+		s.recordViolation("page %q of %s", number, id)
 		s.send("%s", ErrorReply(id))
 		return true
 	}
@@ -251,15 +254,15 @@
 	return true
 }
 
-// isOpen reports whether an attempt has not ended.
+// isOpen reports whether an attempt is open on this connection.
 func (s *session) isOpen(a *Attempt) bool {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	return s.attempts[a.ID] == a
 }
 
-// answered records an attempt's last reply, if it is open.
-func (s *session) answered(id, verb string) {
+// recordReply records the final reply of an attempt, if the attempt is open.
+func (s *session) recordReply(id, verb string) {
 	s.engine.mu.Lock()
 	if a := s.attempts[id]; a != nil {
 		a.Verb = verb
@@ -268,22 +271,23 @@
 	s.endAttempt(id, Replied)
 }
 
-// endAttempt records an attempt's end, if it is open.
-func (s *session) endAttempt(id string, how End) {
+// endAttempt records the end of an attempt, if the attempt is open. Cancelling a request also deletes
+// the pages of its result.
+func (s *session) endAttempt(id string, end End) {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	if a := s.attempts[id]; a != nil {
-		a.End = how
+		a.End = end
 		a.EndedAt = time.Now()
 		delete(s.attempts, id)
 	}
-	if how == Cancelled {
+	if end == Cancelled {
 		delete(s.pages, id)
 	}
 }
 
-// endAll ends what is open on a connection that has ended.
-func (s *session) endAll() {
+// endOpenAttempts closes the connection and records the end of the attempts that are still open.
+func (s *session) endOpenAttempts() {
 	_ = s.conn.Close()
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
