--- a/internal/fakes/engine.go
+++ b/internal/fakes/engine.go
@@ -1,6 +1,6 @@
-// Package fakes has fakes of the peers of a front end: engines, the discovery service and clients.
-// They use the published protocol on loopback connections, record all messages, and can violate the
-// protocol on purpose.
+// Package fakes has fakes of the processes with which a front end communicates: engines, the discovery
+// service and clients. They use the published protocol on loopback connections, record all messages,
+// and can violate the protocol on purpose.
 //
 //	engine.go     engines
 //	session.go    connections of an engine
