--- a/internal/acceptance/incident_test.go
+++ b/internal/acceptance/incident_test.go
@@ -12,8 +12,8 @@
 
 // responseWithStatuses returns a response with the statuses that the protocol allows before
 // the last reply: the attempt is blocked, alive, short of memory, and half done.
-func responseWithStatuses(a fakes.Attempt, duration time.Duration) fakes.Response {
-	return fakes.Response{Duration: duration, Pages: pagesOf(a.ID), Notes: []fakes.StatusNote{
+func responseWithStatuses(a fakes.Attempt, duration time.Duration) fakes.Behavior {
+	return fakes.Behavior{Duration: duration, Pages: pagesOf(a.ID), Notes: []fakes.StatusNote{
 		{Fields: "note=held,num=2"}, {Fields: "-"}, {After: duration / 4, Fields: "note=short,num=96"},
 		{After: duration / 2, Fields: "note=share,num=0.5"}}}
 }
@@ -24,7 +24,7 @@
 func TestStatusesDoNotEndAttempts(t *testing.T) {
 	var engines []*fakes.Engine
 	for i := range 8 {
-		engines = append(engines, fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Response {
+		engines = append(engines, fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Behavior {
 			return responseWithStatuses(a, 150*time.Millisecond)
 		}))
 	}
@@ -55,14 +55,14 @@
 	attempts := map[string]int{}
 	var engines []*fakes.Engine
 	for i := range 3 {
-		engines = append(engines, fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Response {
+		engines = append(engines, fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Behavior {
 			mu.Lock()
 			defer mu.Unlock()
 			attempts[a.ID]++
 			if attempts[a.ID] == 1 && len(attempts) <= 2 { // within the retry budget
-				return fakes.Response{Verb: "EIO"} // the attempt may have run, and the retry has its key
+				return fakes.Behavior{Verb: "EIO"} // the attempt may have run, and the retry has its key
 			}
-			return fakes.Response{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
+			return fakes.Behavior{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 		}))
 	}
 	f := start(t, deployment{fronts: 1, cores: 8}, engines)
@@ -104,8 +104,8 @@
 	const minServed = 100
 	engines := make([]*fakes.Engine, 8) // the running engines; all endpoints of the list have their addresses
 	for i := range engines {
-		engines[i] = fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Response {
-			return fakes.Response{Duration: 20 * time.Millisecond, Pages: pagesOf(a.ID)}
+		engines[i] = fakes.NewEngine(t, fmt.Sprintf("s-%d", i), func(a fakes.Attempt) fakes.Behavior {
+			return fakes.Behavior{Duration: 20 * time.Millisecond, Pages: pagesOf(a.ID)}
 		})
 	}
 	endpoints := make([]fakes.Endpoint, size)
