--- a/internal/acceptance/faults_test.go
+++ b/internal/acceptance/faults_test.go
@@ -24,12 +24,12 @@
 
 // faultyResponse draws an engine's response to an attempt. About one response in four has a
 // fault that the protocol allows, or that the network or a faulty engine may cause.
-func faultyResponse(rng *rand.Rand, a fakes.Attempt) fakes.Response {
+func faultyResponse(rng *rand.Rand, a fakes.Attempt) fakes.Behavior {
 	duration := time.Duration(10+rng.IntN(80)) * time.Millisecond
 	if a.Fields["c"] == entry { // so that the next request of the same order key arrives while this one runs
 		duration *= 8
 	}
-	good := fakes.Response{Duration: duration, Pages: pagesOf(a.ID)}
+	good := fakes.Behavior{Duration: duration, Pages: pagesOf(a.ID)}
 	ack := fakes.ResultReply(a.ID, "batches=1,cpu=1,used=1", strings.Join(good.Pages, ""))
 	statuses := func(fields ...string) []fakes.StatusNote {
 		var list []fakes.StatusNote
@@ -40,30 +40,30 @@
 	}
 	switch rng.IntN(40) {
 	case 0:
-		return fakes.Response{Duration: duration, Verb: "EIO"}
+		return fakes.Behavior{Duration: duration, Verb: "EIO"}
 	case 1:
-		return fakes.Response{Duration: duration / 8, Verb: "AGAIN"}
+		return fakes.Behavior{Duration: duration / 8, Verb: "AGAIN"}
 	case 2:
-		return fakes.Response{Duration: duration / 8, Verb: "STALE"}
+		return fakes.Behavior{Duration: duration / 8, Verb: "STALE"}
 	case 3:
-		return fakes.Response{NeverAnswers: true, Notes: statuses("note=share,num=0.1")}
+		return fakes.Behavior{NeverReplies: true, Notes: statuses("note=share,num=0.1")}
 	case 4:
-		return fakes.Response{Duration: duration, Reset: true}
+		return fakes.Behavior{Duration: duration, Reset: true}
 	case 5: // an unknown verb, while the attempt is still running
 		good.Notes, good.Duration = []fakes.StatusNote{}, 20*duration
-		good.First = a.ID + " LATER - 0\r\n\r\n"
+		good.RawPrefix = a.ID + " LATER - 0\r\n\r\n"
 		return good
 	case 6: // malformed statuses
 		good.Notes = statuses("note=share,num=7", "note=held", "num=3", "note=short,num=NaN", "note=other,num=1", "note=share,num=0.5")
 		return good
 	case 7: // a duplicate reply
-		return fakes.Response{Duration: duration, Raw: ack + ack}
+		return fakes.Behavior{Duration: duration, RawReply: ack + ack}
 	case 8: // a reply to an unknown ID, then the correct reply
-		return fakes.Response{Duration: duration, Raw: "ffffffffffffffff EVENT note=share,num=0.3 0\r\n\r\n" + ack}
+		return fakes.Behavior{Duration: duration, RawReply: "ffffffffffffffff EVENT note=share,num=0.3 0\r\n\r\n" + ack}
 	case 9: // half a reply; the other half is never sent
-		return fakes.Response{Duration: duration, Raw: ack[:len(ack)/2]}
+		return fakes.Behavior{Duration: duration, RawReply: ack[:len(ack)/2]}
 	case 10: // a status after the last reply
-		return fakes.Response{Duration: duration, Raw: ack + a.ID + " EVENT note=share,num=1 0\r\n\r\n"}
+		return fakes.Behavior{Duration: duration, RawReply: ack + a.ID + " EVENT note=share,num=1 0\r\n\r\n"}
 	default:
 		good.Notes = statuses("note=held,num=2", "-", "note=share,num=0.4", "note=short,num=12.5")[:rng.IntN(5)]
 		return good
@@ -89,7 +89,7 @@
 	var relays []*fakes.Relay
 	var endpoints []fakes.Endpoint
 	for i := range *engineCount {
-		e := &fakes.Engine{ID: fmt.Sprintf("s-%d", i), Respond: func(a fakes.Attempt) fakes.Response {
+		e := &fakes.Engine{ID: fmt.Sprintf("s-%d", i), Handle: func(a fakes.Attempt) fakes.Behavior {
 			mu.Lock()
 			defer mu.Unlock()
 			return faultyResponse(rng, a)
@@ -183,10 +183,10 @@
 			continue
 		}
 		mode := []fakes.Mode{fakes.Delay, fakes.Close}[rng.IntN(2)]
-		relays[k].Set(mode)
+		relays[k].SetMode(mode)
 		all.Go(func() {
 			time.Sleep(faultDuration)
-			relays[k].Set(fakes.Pass)
+			relays[k].SetMode(fakes.Pass)
 		})
 	}
 }
@@ -201,10 +201,10 @@
 	if isDisrupted {
 		return
 	}
-	f.discoveryRelay.Set(m)
+	f.discoveryRelay.SetMode(m)
 	all.Go(func() {
 		time.Sleep(duration)
-		f.discoveryRelay.Set(fakes.Pass)
+		f.discoveryRelay.SetMode(fakes.Pass)
 	})
 }
 
--- a/internal/acceptance/fleet_test.go
+++ b/internal/acceptance/fleet_test.go
@@ -84,7 +84,7 @@
 	fronts         []*frontEnd
 
 	mu        sync.Mutex
-	replies   []fakes.Reply
+	replies   []fakes.Outcome
 	drainedAt map[string]time.Time
 	// restarts and killedAt are the restarts of front ends and the times at which they were
 	// killed, by address.
@@ -173,7 +173,7 @@
 // has published so far, as the platform does before it starts a process.
 func (f *fleet) writeConfig(fr *frontEnd) {
 	f.t.Helper()
-	fr.config.KnownUpdates, _ = f.discovery.Since(0)
+	fr.config.InitialUpdates, _ = f.discovery.UpdatesAfter(0)
 	if err := fr.config.Write(fr.path); err != nil {
 		f.t.Error(err)
 	}
@@ -188,7 +188,7 @@
 
 // call sends a request to a front end and records the response. It fills in an ID, a
 // statement and an entry's idempotency key if the request has none.
-func (f *fleet) call(fr *frontEnd, q fakes.Request) fakes.Reply {
+func (f *fleet) call(fr *frontEnd, q fakes.Request) fakes.Outcome {
 	f.mu.Lock()
 	f.requestCount++
 	number := f.requestCount
--- a/internal/faulttest/view.go
+++ b/internal/faulttest/view.go
@@ -17,7 +17,7 @@
 // Call sends a request to the operators' API and returns the response. Status 0 means
 // that there was no response.
 func Call(controlAddr, method, path string) (status int, body []byte) {
-	return fakes.CallOperators(controlAddr, method, path, callTimeout)
+	return fakes.CallOperatorAPI(controlAddr, method, path, callTimeout)
 }
 
 // View is a front end's view of the fleet, as the operators' API returns it.
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -74,7 +74,7 @@
 		PeerListen:       testprocess.FreeAddr(t),
 		Peers:            peers,
 		DiscoveryAddress: discovery,
-		KnownUpdates:     fakes.OneUpdate(1, true, endpoints...),
+		InitialUpdates:   fakes.OneUpdate(1, true, endpoints...),
 		Settings:         settings.JSON(),
 	}
 	if err := config.Write(f.configPath); err != nil {
@@ -168,7 +168,7 @@
 
 // callOperatorAPI calls the operators' API. Status 0 means that there was no response.
 func callOperatorAPI(addr, method, path string) (status int, body []byte) {
-	return fakes.CallOperators(addr, method, path, testprocess.WaitTimeout)
+	return fakes.CallOperatorAPI(addr, method, path, testprocess.WaitTimeout)
 }
 
 // client is a connection of a client.
