--- a/internal/mysql/leases.go
+++ b/internal/mysql/leases.go
@@ -23,7 +23,7 @@
 // granted, acquireLease calls run with the time that remains until the deadline, and
 // run calls its own done argument with the outcome. Otherwise acquireLease calls done
 // with the outcome that follows from the decision.
-func (s *Server) acquireLease(name, fingerprint string, t treatment, done func(outcome),
+func (s *Server) acquireLease(name, fingerprint string, t requestOptions, done func(outcome),
 	run func(remainingMS float64, done func(outcome)),
 ) {
 	requestedAt := s.loop.Now()
@@ -90,7 +90,7 @@
 	case lease.Conflict:
 		return outcome{err: errIDConflict}
 	case lease.Forgotten:
-		return outcome{err: &Error{codeForgotten, "08007", "this id is not remembered: it may have run"}}
+		return outcome{err: &Error{codeUnknownLoadID, "08007", "this id is not remembered: it may have run"}}
 	default:
 		s.Counters.Rejected++
 		return outcome{err: s.rejection()}
--- a/internal/mysql/loads.go
+++ b/internal/mysql/loads.go
@@ -28,12 +28,12 @@
 	waiters        []func(outcome) // callbacks of repeats
 }
 
-func (s *Server) class(t treatment) *simproto.Class { return &s.config.Settings.Classes[t.class] }
+func (s *Server) class(t requestOptions) *simproto.Class { return &s.config.Settings.Classes[t.class] }
 
 // submitLoad accepts a load with an id. A repeat gets the outcome of the first run.
 // If the fleet uses leases, the load runs only if this front end is granted its
 // lease.
-func (s *Server) submitLoad(c *client, statement *Statement, info *statementInfo, t treatment, done func(outcome)) {
+func (s *Server) submitLoad(c *client, statement *Statement, info *statementInfo, t requestOptions, done func(outcome)) {
 	name := c.user + "\x00" + t.loadID
 	fingerprint := fingerprintOf(statement)
 	if s.joinLoad(c, name, fingerprint, done) {
--- a/internal/mysql/packet_test.go
+++ b/internal/mysql/packet_test.go
@@ -6,6 +6,7 @@
 	"errors"
 	"net"
 	"os"
+	"slices"
 	"syscall"
 	"testing"
 	"time"
@@ -18,8 +19,9 @@
 	"dewhill/internal/testprocess"
 )
 
-// TestPacketsInPieces checks that packets read the same in whatever pieces they arrive.
-func TestPacketsInPieces(t *testing.T) {
+// TestPacketsInChunks checks that packets are read correctly regardless of the chunks in
+// which they arrive.
+func TestPacketsInChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		payloads := rapid.SliceOfN(rapid.SliceOfN(rapid.Byte(), 0, 3000), 1, 5).Draw(t, "payloads")
 		var out stream
@@ -35,7 +37,8 @@
 	})
 }
 
-// TestBoundValues checks that bound values, also NULL, come out as they went in.
+// TestBoundValues checks that bound values, including NULL, are unchanged after encoding
+// and parsing.
 func TestBoundValues(t *testing.T) {
 	kinds := map[byte]int{0x01: 1, 0x02: 2, 0x03: 4, 0x08: 8, 0x05: 8, typeVarString: -1, typeBlob: -1}
 	rapid.Check(t, func(t *rapid.T) {
@@ -52,10 +55,10 @@
 			}
 			params = append(params, p)
 		}
-		st := &preparedStatement{info: &statementInfo{params: n}}
-		got, bad := st.bind(encodeExecute(1, params)[4:])
-		if bad != nil {
-			t.Fatal(bad)
+		statement := &preparedStatement{info: &statementInfo{params: n}}
+		got, invalid := statement.bind(encodeExecute(1, params)[4:])
+		if invalid != nil {
+			t.Fatal(invalid)
 		}
 		for i := range params {
 			if got[i].Null != params[i].Null || got[i].Type != params[i].Type || !bytes.Equal(got[i].Value, params[i].Value) {
@@ -65,10 +68,10 @@
 	})
 }
 
-// TestMalformedPackets checks that malformed input to each parser is an error, never a
-// panic.
+// TestMalformedPackets checks that no parser panics on malformed input, and that a
+// successful bind returns all parameters.
 func TestMalformedPackets(t *testing.T) {
-	login := binary.LittleEndian.AppendUint32(nil, ourCapabilities)
+	login := binary.LittleEndian.AppendUint32(nil, supportedCapabilities)
 	login = append(append(login, make([]byte, 28)...), "app\x00\x14aaaaaaaaaaaaaaaaaaaatrips\x00mysql_native_password\x00"...)
 	var result stream
 	result.queuePacket([]byte{1})
@@ -79,19 +82,20 @@
 	execute := encodeExecute(1, []Param{{Type: 3, Value: []byte("abcd")}, {Type: typeVarString, Value: []byte("\x02hi")}})
 	rapid.Check(t, func(t *rapid.T) {
 		_, _ = parseLogin(testprocess.MalformedMessage(t, string(login)))
-		st := &preparedStatement{info: &statementInfo{params: 2}}
-		if p, bad := st.bind(testprocess.MalformedMessage(t, string(execute[4:]))); bad == nil && len(p) != 2 {
-			t.Fatalf("%+v", p)
+		statement := &preparedStatement{info: &statementInfo{params: 2}}
+		params, invalid := statement.bind(testprocess.MalformedMessage(t, string(execute[4:])))
+		if invalid == nil && len(params) != 2 {
+			t.Fatalf("%+v", params)
 		}
 		s := &session{stream: newStream(testprocess.NewChunkedConn(t, testprocess.MalformedMessage(t, string(result.queued))))}
 		_, _ = s.readResult(1 << 20)
-		w := newStream(testprocess.NewChunkedConn(t, testprocess.MalformedMessage(t, "\x4a\x00\x00\x00"+string(greetingPacket(7, newChallenge())))))
-		_, _ = logIn(w, "a", "b", "c")
+		engineStream := newStream(testprocess.NewChunkedConn(t, testprocess.MalformedMessage(t, "\x4a\x00\x00\x00"+string(greetingPacket(7, newChallenge())))))
+		_, _ = logIn(engineStream, "a", "b", "c")
 		inspect(string(testprocess.MalformedMessage(t, "/* dewhill: class=load key=x */ INSERT INTO a_1.t VALUES (?, '?')")))
 	})
 }
 
-// TestInspect checks what is told from a statement's text.
+// TestInspect checks the properties that inspect finds in a statement's text.
 func TestInspect(t *testing.T) {
 	for sql, want := range map[string]statementInfo{
 		"SELECT '?' , ? FROM a_4.t -- ?":               {verb: "SELECT", params: 1, tableGroup: 4, table: "a_4.t"},
@@ -104,114 +108,118 @@
 	} {
 		s := inspect(sql)
 		if s.verb != want.verb || s.writes != want.writes || s.params != want.params || s.tableGroup != want.tableGroup || s.table != want.table ||
-			s.unusable != nil {
+			s.err != nil {
 			t.Errorf("%s: %+v", sql, s)
 		}
 	}
 }
 
-// fakeLoop is an event loop with a clock that the test sets. It records how attempts
-// end and drops what is posted.
+// fakeLoop is an event loop whose clock the test sets. It records the results of attempts
+// and ignores log lines and delayed functions.
 type fakeLoop struct {
 	EventLoop
 	now   float64
 	ended []control.Result
 }
 
-func (c *fakeLoop) Now() float64 { return c.now }
-func (c *fakeLoop) AttemptEnded(ev dispatch.AttemptEnded, _ any) {
-	c.ended = append(c.ended, ev.Result)
+func (l *fakeLoop) Now() float64 { return l.now }
+func (l *fakeLoop) AttemptEnded(ev dispatch.AttemptEnded, _ any) {
+	l.ended = append(l.ended, ev.Result)
 }
-func (c *fakeLoop) Logf(string, ...any)   {}
-func (c *fakeLoop) After(float64, func()) {}
+func (l *fakeLoop) Logf(string, ...any)   {}
+func (l *fakeLoop) After(float64, func()) {}
 
-// TestEvictionAndRemovedEngines checks that connections that never log in make room for
-// clients, and that removed engines are forgotten.
+// TestEvictionAndRemovedEngines checks that the oldest connections without a login are
+// closed for new clients, and that the pool drops engines that are no longer listed.
 func TestEvictionAndRemovedEngines(t *testing.T) {
-	h := &fakeLoop{now: 1000}
-	f := NewServer(h, &Config{})
-	var all []*client
-	for k := range 4 {
+	loop := &fakeLoop{now: 1000}
+	server := NewServer(loop, &Config{})
+	var clients []*client
+	for i := range 4 {
 		conn, _ := net.Pipe()
-		c := &client{server: f, stream: newStream(conn), connectedAtMS: float64(1000 + 100*k)}
-		f.clients[c] = true
-		all = append(all, c)
+		c := &client{server: server, stream: newStream(conn), connectedAtMS: float64(1000 + 100*i)}
+		server.clients[c] = true
+		clients = append(clients, c)
 	}
-	all[0].loggedIn.Store(true)
-	h.now = 1201 + evictableAfterMS
+	clients[0].loggedIn.Store(true)
+	loop.now = 1201 + evictableAfterMS
 	for _, want := range []bool{true, true, false} {
-		if got := f.evict(); got != want {
+		if got := server.evict(); got != want {
 			t.Errorf("evicted: %v, want %v", got, want)
 		}
 	}
-	if !f.clients[all[0]] || f.clients[all[1]] || f.clients[all[2]] || !f.clients[all[3]] {
-		t.Error("not the oldest one without a login was evicted")
+	open := server.clients
+	if !open[clients[0]] || open[clients[1]] || open[clients[2]] || !open[clients[3]] {
+		t.Error("evicted connections are not the two oldest without a login")
 	}
-	if all[1].stream.conn.SetDeadline(time.Time{}) == nil {
-		t.Error("the connection stays open")
+	if clients[1].stream.conn.SetDeadline(time.Time{}) == nil {
+		t.Error("the connection of an evicted client is still open")
 	}
-	p := &Pool{loop: h, engines: map[string]*engine{}}
-	p.SetEndpoints([]Engine{{ID: "a"}, {ID: "b"}}, nil)
-	p.SetEndpoints([]Engine{{ID: "b"}}, nil)
-	if len(p.engines) != 1 || p.engines["b"] == nil {
-		t.Errorf("%d engines known", len(p.engines))
+	pool := &Pool{loop: loop, engines: map[string]*engine{}}
+	pool.SetEndpoints([]Engine{{ID: "a"}, {ID: "b"}}, nil)
+	pool.SetEndpoints([]Engine{{ID: "b"}}, nil)
+	if len(pool.engines) != 1 || pool.engines["b"] == nil {
+		t.Errorf("pool has %d engines, want only engine b", len(pool.engines))
 	}
 }
 
-// TestShutdownKeepsUnreadCommands checks that idle clients are closed at shutdown, but a
-// command that has arrived and is not read yet is served.
+// TestShutdownKeepsUnreadCommands checks that a shutdown closes the connections of idle
+// clients, but not a connection with a command that has arrived and has not been read yet.
 func TestShutdownKeepsUnreadCommands(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	f := NewServer(&fakeLoop{}, &Config{})
-	var all []*client
+	server := NewServer(&fakeLoop{}, &Config{})
+	var clients []*client
 	for range 2 {
-		theirs, err := net.Dial("tcp", l.Addr().String())
+		clientConn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = theirs.Close() }()
-		ours, err := l.Accept()
+		defer func() { _ = clientConn.Close() }()
+		serverConn, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = ours.Close() }()
-		if len(all) == 0 {
-			if _, err := theirs.Write([]byte{1, 0, 0, 0, comPing}); err != nil {
+		defer func() { _ = serverConn.Close() }()
+		if len(clients) == 0 {
+			if _, err := clientConn.Write([]byte{1, 0, 0, 0, comPing}); err != nil {
 				t.Fatal(err)
 			}
-			testprocess.Until(t, "the command", func() bool { return lineproto.HasUnread(ours) })
+			testprocess.Until(t, "the command", func() bool { return lineproto.HasUnread(serverConn) })
 		}
-		c := &client{server: f, stream: newStream(ours)}
-		f.clients[c] = true
-		all = append(all, c)
+		c := &client{server: server, stream: newStream(serverConn)}
+		server.clients[c] = true
+		clients = append(clients, c)
 	}
-	f.BeginShutdown()
-	if p, err := all[0].stream.readPacket(); err != nil || p[0] != comPing {
-		t.Errorf("the command that had arrived: %v, %v", p, err)
+	server.BeginShutdown()
+	if p, err := clients[0].stream.readPacket(); err != nil || p[0] != comPing {
+		t.Errorf("command that arrived before the shutdown: got %v, %v", p, err)
 	}
-	var late net.Error
-	if _, err := all[1].stream.readPacket(); !errors.As(err, &late) || !late.Timeout() {
-		t.Errorf("the idle client: %v", err)
+	var netError net.Error
+	if _, err := clients[1].stream.readPacket(); !errors.As(err, &netError) || !netError.Timeout() {
+		t.Errorf("idle client: error %v, want a timeout", err)
 	}
 }
 
-// TestConnectionShortage checks that a shortage of connections or descriptors of this
-// process is not held against the engine: nothing was sent.
+// TestConnectionShortage checks that attempts that fail because this process is out of
+// connections or descriptors count as not sent and are not held against the engine, while
+// another connection error is.
 func TestConnectionShortage(t *testing.T) {
-	h := &fakeLoop{}
-	p := &Pool{loop: h, engines: map[string]*engine{}}
-	p.SetEndpoints([]Engine{{ID: "a"}}, nil)
-	p.StartAttempt(dispatch.StartAttempt{RequestID: "1", Engine: "a"}, 0, &Statement{})
-	m := p.engines["a"]
-	failed := &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
-	for _, err := range []error{failed, net.ErrClosed} {
-		p.attemptEnded(&attempt{session: newSession(m)}, attemptDone{err: notWrittenError{err}, broken: true})
+	loop := &fakeLoop{}
+	pool := &Pool{loop: loop, engines: map[string]*engine{}}
+	pool.SetEndpoints([]Engine{{ID: "a"}}, nil)
+	pool.StartAttempt(dispatch.StartAttempt{RequestID: "1", Engine: "a"}, 0, &Statement{})
+	target := pool.engines["a"]
+	socketError := &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", syscall.EMFILE)}
+	for _, err := range []error{socketError, net.ErrClosed} {
+		done := attemptDone{err: notWrittenError{err}, broken: true}
+		pool.attemptEnded(&attempt{session: newSession(target)}, done)
 	}
-	if len(h.ended) != 3 || h.ended[0] != control.NotSent || h.ended[1] != control.NotSent || h.ended[2] != control.ConnectFailed {
-		t.Errorf("ended %v", h.ended)
+	want := []control.Result{control.NotSent, control.NotSent, control.ConnectFailed}
+	if !slices.Equal(loop.ended, want) {
+		t.Errorf("ended %v, want %v", loop.ended, want)
 	}
 }
