--- a/internal/faulttest/config.go
+++ b/internal/faulttest/config.go
@@ -11,10 +11,10 @@
 	"dewhill/internal/testprocess"
 )
 
-// deadlineMS bounds a client's request.
+// deadlineMS bounds the duration of a client's request.
 const deadlineMS = 4000
 
-// newFrontEnd writes the configuration of a front end.
+// newFrontEnd returns a front end that is not running yet, and writes its configuration.
 func (f *Fleet) newFrontEnd(index int, peerAddrs []netip.AddrPort) *FrontEnd {
 	f.t.Helper()
 	front := &FrontEnd{
@@ -28,7 +28,7 @@
 		front.StateDir = f.t.TempDir()
 	}
 	front.clusterPath = testprocess.WriteTempFile(f.t, "group.toml", f.clusterConfig(front, peerAddrs))
-	known, _ := f.Discovery.Since(0)
+	known, _ := f.Discovery.UpdatesAfter(0)
 	config := fakes.ProgramConfig{
 		Name:             front.Name,
 		Listen:           front.Addr,
@@ -38,7 +38,7 @@
 		Peers:            f.configuredPeers(index),
 		DiscoveryAddress: f.Discovery.Addr,
 		ControlAddress:   front.ControlAddr,
-		KnownUpdates:     known,
+		InitialUpdates:   known,
 		Settings:         fakes.Settings{FrontEnds: f.options.Size, Index: index, DeadlineMS: deadlineMS}.JSON(),
 	}
 	front.configPath = filepath.Join(f.t.TempDir(), "config.json")
@@ -48,8 +48,8 @@
 	return front
 }
 
-// configuredPeers returns the addresses at which a front end finds the others; none
-// where they join by seeds.
+// configuredPeers returns the addresses at which a front end reaches the front ends of the
+// fleet, by index, or nil if front ends join by seeds.
 func (f *Fleet) configuredPeers(index int) []string {
 	if f.options.SeedCount > 0 {
 		return nil
--- a/internal/mysql/fleet_test.go
+++ b/internal/mysql/fleet_test.go
@@ -100,7 +100,7 @@
 	t.Helper()
 	f := startLoadFleet(t, options)
 	var faults sync.WaitGroup
-	faults.Go(func() { f.Play(options.faults) })
+	faults.Go(func() { f.RunTimeline(options.faults) })
 	f.sendLoads()
 	faults.Wait()
 	f.KillAll()
@@ -111,7 +111,7 @@
 	t.Helper()
 	cfg, engines := newConfig(t, 3)
 	for _, e := range engines {
-		e.Set(runAtRandomLength(options.maxRunMS))
+		e.SetBehaviour(runAtRandomLength(options.maxRunMS))
 	}
 	var addrs, paths []string
 	for range options.size {
@@ -236,7 +236,7 @@
 func (f *loadFleet) results() loadResults {
 	runs := map[string]int{}
 	for _, e := range f.engines {
-		for statement, times := range e.All() {
+		for statement, times := range e.RunCounts() {
 			runs[statement] += times
 		}
 	}
--- a/internal/mysql/harness_test.go
+++ b/internal/mysql/harness_test.go
@@ -119,7 +119,7 @@
 // setBehaviour sets the behaviour of all engines.
 func (d *deployment) setBehaviour(on func(step, sql string) string) {
 	for _, e := range d.engines {
-		e.Set(on)
+		e.SetBehaviour(on)
 	}
 }
 
