--- a/internal/acceptance/protocol_test.go
+++ b/internal/acceptance/protocol_test.go
@@ -395,14 +395,14 @@
 // maxDatagramBytes bounds a datagram between front ends.
 const maxDatagramBytes = 256
 
-// TestInvalidDatagramsAreIgnored checks that datagrams from unknown senders, datagrams that are
+// TestInvalidDatagramsAreIgnored checks that datagrams from unlisted senders, datagrams that are
 // too long and datagrams of an unknown kind are counted and have no effect, and that valid
 // datagrams of a peer are accepted.
 func TestInvalidDatagramsAreIgnored(t *testing.T) {
 	engines := newEngines(t, 2, func(a fakes.Attempt) fakes.Behavior {
 		return fakes.Behavior{Duration: 5 * time.Millisecond, Pages: pagesOf(a.ID)}
 	})
-	peer, stranger := listenDatagrams(t), listenDatagrams(t)
+	peer, unlistedSender := listenDatagrams(t), listenDatagrams(t)
 	listen := testprocess.FreeAddr(t)
 	f := start(t, deployment{fronts: 1, configuredFronts: 2, cores: 8, configure: func(config *fakes.ProgramConfig, settings map[string]any) {
 		config.PeerListen = listen
@@ -421,7 +421,7 @@
 			}
 		}
 	}
-	send(stranger, []byte{0x3f, 0x80, 0, 0})
+	send(unlistedSender, []byte{0x3f, 0x80, 0, 0})
 	send(peer, make([]byte, maxDatagramBytes+1))
 	send(peer, []byte("\xd1\x77 of a kind that is not known"))
 	send(peer, []byte("\xff\xff\xff\xff\xff\xff\xff\xff"))
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -4,7 +4,7 @@
 // requests, attempts and outcomes, does no I/O and has no clock: the same settings, seed
 // and events always give the same effects.
 //
-// The package keeps these invariants, whatever action the decision logic asks for:
+// The package keeps these invariants for every action that the decision logic requests:
 //
 //   - A request gets one final response, by its deadline. A request that its client
 //     has abandoned gets none.
--- a/internal/dispatch/opencounts.go
+++ b/internal/dispatch/opencounts.go
@@ -37,6 +37,6 @@
 	return r.ArrivedAtMS + class.LatencyObjectiveMS + class.ObjectiveSlope*r.WorkMS/float64(max(1, class.Threads))
 }
 
-// EngineCounts returns how many engines the endpoint list has, and how many of them the
-// decision logic avoids.
-func (d *Dispatcher) EngineCounts() (listed, avoided int) { return d.gateway.EngineCounts() }
+// EngineCounts returns the number of engines in the endpoint list, and how many of them
+// receive no requests because they are draining, disabled or ejected.
+func (d *Dispatcher) EngineCounts() (listed, outOfService int) { return d.gateway.EngineCounts() }
--- a/internal/fakes/client.go
+++ b/internal/fakes/client.go
@@ -47,7 +47,7 @@
 }
 
 // Served reports whether the client received a complete and successful response.
-func (r *Outcome) Served() bool { return r.Status == 200 && r.Err == "" && r.ProtocolError == "" }
+func (o *Outcome) Served() bool { return o.Status == 200 && o.Err == "" && o.ProtocolError == "" }
 
 // ResponseBody is the body of a response.
 type ResponseBody struct {
@@ -66,37 +66,37 @@
 // Call sends a request on a new connection, polls the paths in the responses, and returns the
 // outcome.
 func Call(addr string, q Request) Outcome {
-	r := Outcome{Request: q, FrontEndAddr: addr, Sent: time.Now()}
-	r.exchange(addr)
-	r.Ended = time.Now()
-	return r
+	o := Outcome{Request: q, FrontEndAddr: addr, Sent: time.Now()}
+	o.exchange(addr)
+	o.Ended = time.Now()
+	return o
 }
 
 // exchange sends the request and reads the responses.
-func (r *Outcome) exchange(addr string) {
+func (o *Outcome) exchange(addr string) {
 	conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 	if err != nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	r.Sent = time.Now()
-	timeout := r.Timeout + lateResponseWait
-	if r.DisconnectAfter > 0 {
-		timeout = r.DisconnectAfter
+	o.Sent = time.Now()
+	timeout := o.Timeout + lateResponseWait
+	if o.DisconnectAfter > 0 {
+		timeout = o.DisconnectAfter
 	}
-	_ = conn.SetDeadline(r.Sent.Add(timeout))
-	if _, err := io.WriteString(conn, r.Message()); err != nil {
+	_ = conn.SetDeadline(o.Sent.Add(timeout))
+	if _, err := io.WriteString(conn, o.Message()); err != nil {
 		return
 	}
-	r.Written = true
+	o.Written = true
 	reader := bufio.NewReader(conn)
 	for {
-		path := r.readResponse(reader)
+		path := o.readResponse(reader)
 		if path == "" {
 			return
 		}
 		if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: origin.svc\r\n\r\n", path); err != nil {
-			r.ProtocolError = fmt.Sprintf("poll: %v", err)
+			o.ProtocolError = fmt.Sprintf("poll: %v", err)
 			return
 		}
 	}
@@ -104,28 +104,28 @@
 
 // readResponse reads a response and returns the path to poll next, or an empty string if there is
 // none.
-func (r *Outcome) readResponse(reader *bufio.Reader) (path string) {
+func (o *Outcome) readResponse(reader *bufio.Reader) (path string) {
 	status, head, body, err := ReadResponse(reader)
 	if err != nil {
 		var netError net.Error
-		r.Disconnected = r.DisconnectAfter > 0 && errors.As(err, &netError) && netError.Timeout()
-		if !r.Disconnected {
-			r.ProtocolError = fmt.Sprintf("no complete response: %v", err)
+		o.Disconnected = o.DisconnectAfter > 0 && errors.As(err, &netError) && netError.Timeout()
+		if !o.Disconnected {
+			o.ProtocolError = fmt.Sprintf("no complete response: %v", err)
 		}
 		return ""
 	}
 	var content ResponseBody
 	if err := json.Unmarshal(body, &content); err != nil {
-		r.ProtocolError = fmt.Sprintf("response %.60q: %v", body, err)
+		o.ProtocolError = fmt.Sprintf("response %.60q: %v", body, err)
 		return ""
 	}
-	r.Rows = append(r.Rows, content.Page...)
+	o.Rows = append(o.Rows, content.Page...)
 	if content.Poll != "" {
 		return content.Poll
 	}
-	r.Status = status
-	r.Err = content.Err
-	r.RetryAfterMS, _ = strconv.Atoi(head.Get("Srv-Wait-Ms")) // 0 without the header
+	o.Status = status
+	o.Err = content.Err
+	o.RetryAfterMS, _ = strconv.Atoi(head.Get("Srv-Wait-Ms")) // 0 without the header
 	return ""
 }
 
--- a/internal/httpfront/exchange.go
+++ b/internal/httpfront/exchange.go
@@ -184,8 +184,8 @@
 }
 
 // clientDisconnected records that the connection of a client with a poll path has
-// closed. The client may be gone, or may poll on a new connection at once; no attempt
-// begins until it polls.
+// closed. The client may have disconnected for good, or may poll on a new connection at
+// once; no attempt begins until it polls.
 func (s *Server) clientDisconnected(ex *exchange) {
 	s.Counters.DisconnectedWithPollPath++
 	ex.clientDisconnected = true
--- a/internal/mysql/disconnect_test.go
+++ b/internal/mysql/disconnect_test.go
@@ -41,7 +41,7 @@
 		c.Settings.Classes[1].LatencyObjectiveMS = 20000
 	})
 	release := make(chan bool)
-	d.setBehaviour(func(step, sql string) string {
+	d.setBehavior(func(step, sql string) string {
 		if strings.Contains(sql, "slow") {
 			<-release
 		}
--- a/internal/mysql/fakes_test.go
+++ b/internal/mysql/fakes_test.go
@@ -27,12 +27,12 @@
 	prepares         int
 	kills            int
 	initDatabases    []string
-	// behaviour is called before each step (prepare, execute or query) with the
+	// behavior is called before each step (prepare, execute or query) with the
 	// statement and returns the action to take instead of the step: "close" (close the
 	// connection), "run-close" (run the statement, then close the connection), "hang"
 	// (wait until the statement is killed), "error N" (reply with error number N), or
 	// "" for none.
-	behaviour func(step, sql string) string
+	behavior func(step, sql string) string
 }
 
 type fakeConnection struct {
@@ -77,11 +77,11 @@
 	return e.prepares, e.kills
 }
 
-// SetBehaviour sets the function that chooses the engine's action at each step.
-func (e *FakeEngine) SetBehaviour(behaviour func(step, sql string) string) {
+// SetBehavior sets the function that chooses the engine's action at each step.
+func (e *FakeEngine) SetBehavior(behavior func(step, sql string) string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.behaviour = behaviour
+	e.behavior = behavior
 }
 
 // CloseAll closes every connection.
@@ -193,12 +193,12 @@
 
 func (e *FakeEngine) actionFor(step, sql string) string {
 	e.mu.Lock()
-	behaviour := e.behaviour
+	behavior := e.behavior
 	e.mu.Unlock()
-	if behaviour == nil {
+	if behavior == nil {
 		return ""
 	}
-	return behaviour(step, sql)
+	return behavior(step, sql)
 }
 
 func (e *FakeEngine) kill(id uint32) {
--- a/internal/mysql/fleet_test.go
+++ b/internal/mysql/fleet_test.go
@@ -111,7 +111,7 @@
 	t.Helper()
 	cfg, engines := newConfig(t, 3)
 	for _, e := range engines {
-		e.SetBehaviour(runAtRandomLength(options.maxRunMS))
+		e.SetBehavior(runAtRandomLength(options.maxRunMS))
 	}
 	var addrs, paths []string
 	for range options.size {
@@ -137,7 +137,7 @@
 	return f
 }
 
-// runAtRandomLength returns a behaviour of an engine in which each step takes a random
+// runAtRandomLength returns a behavior of an engine in which each step takes a random
 // time of less than maxMS.
 func runAtRandomLength(maxMS int) func(step, sql string) string {
 	rng := rand.New(rand.NewPCG(*fleetSeed, 9))
--- a/internal/mysql/harness_test.go
+++ b/internal/mysql/harness_test.go
@@ -116,14 +116,14 @@
 	return n
 }
 
-// setBehaviour sets the behaviour of all engines.
-func (d *deployment) setBehaviour(on func(step, sql string) string) {
+// setBehavior sets the behavior of all engines.
+func (d *deployment) setBehavior(on func(step, sql string) string) {
 	for _, e := range d.engines {
-		e.SetBehaviour(on)
+		e.SetBehavior(on)
 	}
 }
 
-// failOnce returns a behaviour of engines in which the given step fails the first time
+// failOnce returns a behavior of engines in which the given step fails the first time
 // it is reached by a statement with the prefix sql. act says how the step fails.
 func failOnce(step, sql, act string) func(string, string) string {
 	var mu sync.Mutex
--- a/internal/mysql/program_test.go
+++ b/internal/mysql/program_test.go
@@ -67,7 +67,7 @@
 // connection breaks between prepare and execute. The load provably has not run before.
 func TestConnectionBreaksAfterPrepare(t *testing.T) {
 	d := deploy(t, 2, nil)
-	d.setBehaviour(failOnce("prepare", "INSERT", "close"))
+	d.setBehavior(failOnce("prepare", "INSERT", "close"))
 	d.exec("INSERT INTO trips_1.t VALUES (?)", 5)
 	d.wantRan("INSERT", 1)
 	// The engine may have closed sessions that hold the handle in the meantime.
@@ -83,13 +83,13 @@
 func TestConnectionBreaksAfterExecute(t *testing.T) {
 	d := deploy(t, 2, nil)
 	for _, act := range []string{"close", "run-close"} {
-		d.setBehaviour(failOnce("execute", "INSERT INTO trips_1."+act, act))
+		d.setBehavior(failOnce("execute", "INSERT INTO trips_1."+act, act))
 		_, err := d.db.Exec("INSERT INTO trips_1."+act+" VALUES (?)", 5)
 		d.wantCode(err, 1180, "08007")
 	}
 	d.wantRan("INSERT INTO trips_1.close", 0)
 	d.wantRan("INSERT INTO trips_1.run-close", 1)
-	d.setBehaviour(failOnce("execute", "SELECT", "run-close"))
+	d.setBehavior(failOnce("execute", "SELECT", "run-close"))
 	var id, null any
 	var n, v int
 	if err := d.db.QueryRow("SELECT a FROM trips_1.t WHERE b = ?", 7).Scan(&id, &n, &null, &v); err != nil || v != 7 {
@@ -152,7 +152,7 @@
 // it no longer knows the handle counts as not run, and that the load then runs once.
 func TestUnknownHandleIsPreparedAgain(t *testing.T) {
 	d := deploy(t, 2, nil)
-	d.setBehaviour(failOnce("execute", "INSERT", "error 1243"))
+	d.setBehavior(failOnce("execute", "INSERT", "error 1243"))
 	d.exec("INSERT INTO trips_1.t VALUES (?)", 1)
 	d.wantRan("INSERT", 1)
 }
@@ -162,7 +162,7 @@
 // both statements are killed on the engine.
 func TestDeadline(t *testing.T) {
 	d := deploy(t, 1, nil)
-	d.setBehaviour(func(step, q string) string {
+	d.setBehavior(func(step, q string) string {
 		if step != "prepare" && strings.Contains(q, "slow") {
 			return "hang"
 		}
@@ -181,7 +181,7 @@
 func TestClientDisconnects(t *testing.T) {
 	d := deploy(t, 1, nil)
 	running := make(chan struct{}, 1)
-	d.setBehaviour(func(step, q string) string {
+	d.setBehavior(func(step, q string) string {
 		if step != "query" || !strings.Contains(q, "slow") {
 			return ""
 		}
@@ -236,7 +236,7 @@
 		}
 	}
 	d.wantRan("/* dewhill: id=up-1", 1)
-	d.setBehaviour(failOnce("execute", "/* dewhill: id=up-2", "run-close"))
+	d.setBehavior(failOnce("execute", "/* dewhill: id=up-2", "run-close"))
 	for range 2 {
 		d.wantCode(exec("up-2", "a"), 1180, "08007")
 	}
@@ -284,7 +284,7 @@
 	_, err := d.db.Exec("/* dewhill: class=lookup */ DELETE FROM trips_1.t")
 	d.wantCode(err, 1231, "42000")
 	d.exec("SELECT broken FROM t")
-	d.setBehaviour(func(string, string) string { return "error 1146" })
+	d.setBehavior(func(string, string) string { return "error 1146" })
 	_, err = d.db.Exec("SELECT a FROM gone")
 	d.wantCode(err, 1146, "HY000")
 	if d.ran("BEGIN")+d.ran("DELETE")+d.ran("SET") != 0 {
@@ -309,7 +309,7 @@
 	running := 0
 	maxRunning := 0
 	var order []string
-	d.setBehaviour(func(step, q string) string {
+	d.setBehavior(func(step, q string) string {
 		if step == "query" {
 			mu.Lock()
 			running++
--- a/internal/replication/convergence_test.go
+++ b/internal/replication/convergence_test.go
@@ -53,8 +53,8 @@
 }
 
 // simulatePartitions simulates partitions with writes on all sides. It returns a
-// description of what is wrong at the end, or "" if nothing is, and the time that the
-// replicas took to become equal.
+// description of the first check that fails after the partitions have healed, or "" if all
+// checks pass, and the time that the replicas took to become equal.
 func simulatePartitions(seed uint64, size int) (failure string, tookMS float64) {
 	const convergenceLimitMS = 15_000
 	f := newFleet(seed, size, Options{})
--- a/internal/server/compat_counters_test.go
+++ b/internal/server/compat_counters_test.go
@@ -193,10 +193,10 @@
 // runUrgentCall runs a call that posts an urgent function and waits for its result. It runs
 // the function itself, as the loop does not run in these tests.
 func runUrgentCall(f *platformFrontEnd, call func() []byte) []byte {
-	answer := make(chan []byte, 1)
-	go func() { answer <- call() }()
+	result := make(chan []byte, 1)
+	go func() { result <- call() }()
 	(<-f.loop.urgent)()
-	return <-answer
+	return <-result
 }
 
 // checkValues compares the values of a JSON text with a golden file, ignoring the order of
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -150,7 +150,7 @@
 // engineCounts returns the number of engines in the list, and of those that this front end
 // does not use now: outside its subset, draining, disabled or ejected.
 func (f *platformFrontEnd) engineCounts() (listed, unused int) {
-	visible, visibleUnused := f.loop.dispatcher.EngineCounts()
+	visible, outOfService := f.loop.dispatcher.EngineCounts()
 	listed = f.endpoints.listedCount()
-	return listed, listed - (visible - visibleUnused)
+	return listed, listed - (visible - outOfService)
 }
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -47,17 +47,17 @@
 }
 
 // respond sends the response to a request and removes the request.
-func (l *EventLoop) respond(a dispatch.Response) {
-	r := l.requests[a.RequestID]
+func (l *EventLoop) respond(response dispatch.Response) {
+	r := l.requests[response.RequestID]
 	if r == nil {
 		return
 	}
-	delete(l.requests, a.RequestID)
+	delete(l.requests, response.RequestID)
 	if late := l.Now() - r.deadlineMS; late > 0 {
 		l.Counters.LateResponses++
 		l.Counters.MaxResponseDelayMS = max(l.Counters.MaxResponseDelayMS, late)
 	}
-	switch a.Outcome {
+	switch response.Outcome {
 	case dispatch.Served:
 		l.Counters.Served++
 	case dispatch.Rejected:
@@ -65,9 +65,9 @@
 	case dispatch.Failed:
 		l.Counters.Failed++
 	default:
-		l.Logf("request %s: unknown outcome %d", a.RequestID, a.Outcome)
+		l.Logf("request %s: unknown outcome %d", response.RequestID, response.Outcome)
 	}
-	r.respond(a, r.result)
+	r.respond(response, r.result)
 }
 
 // AbandonRequest cancels a request whose client has disconnected. It gets no response.
--- a/internal/subset/selector.go
+++ b/internal/subset/selector.go
@@ -228,8 +228,8 @@
 // proposes to its preferences in order until its subset is full; an engine that is full
 // keeps the proposals with the greatest weights, and a gateway that it drops continues
 // to propose. As gateways and engines both rank by the weight of the pair, the result
-// equals that of accepting all pairs by descending weight, in whatever order the
-// gateways propose.
+// equals that of accepting all pairs by descending weight; gateways may propose in any
+// order.
 func (s *Selector) match(plan Plan, size int) {
 	s.unmatched = s.unmatched[:0]
 	for gateway := range s.rankings {
